--- a/packages/cli/src/day_page.ts
+++ b/packages/cli/src/day_page.ts
@@ -2,8 +2,8 @@
 
 import type {
   DaySummary,
-  SecondCounts,
-  Span,
+  CountsPerSecond,
+  TimeSpan,
 } from '@radishyoke/core/trace/day_summary';
 import {escapeHtml} from './html_text.js';
 
@@ -27,7 +27,7 @@
 /** One line of a drawing: a label and its bars. */
 interface Row {
   readonly label: string;
-  readonly bars: ReadonlyArray<Span & {readonly colour: string}>;
+  readonly bars: ReadonlyArray<TimeSpan & {readonly colour: string}>;
 }
 
 /** The whole page. A step is drawn as late if it took longer than `dueMs`. */
@@ -59,7 +59,7 @@
   return steps.filter(step => isLate(step, dueMs)).length;
 }
 
-function isLate({fromMs, toMs}: Span, dueMs: number): boolean {
+function isLate({fromMs, toMs}: TimeSpan, dueMs: number): boolean {
   return toMs === undefined || toMs - fromMs > dueMs;
 }
 
@@ -94,7 +94,7 @@
   return groupRows(bars, ({endpoint}) => endpoint);
 }
 
-function groupRows<T extends Span & {readonly colour: string}>(
+function groupRows<T extends TimeSpan & {readonly colour: string}>(
   bars: readonly T[],
   toLabel: (bar: T) => string,
 ): readonly Row[] {
@@ -123,7 +123,7 @@
   return drawSvg(height, lines.join('\n'));
 }
 
-function drawCounts(day: DaySummary, {name, counts}: SecondCounts): string {
+function drawCounts(day: DaySummary, {name, counts}: CountsPerSecond): string {
   const most = Math.max(...counts);
   const rects = counts.map((count, second) => {
     const height = (count / most) * PLOT_HEIGHT;
--- a/packages/cli/src/explain_command.ts
+++ b/packages/cli/src/explain_command.ts
@@ -1,7 +1,7 @@
 /** `radishyoke explain`: which rule decides a request, and why no earlier one. */
 
 import {z} from 'zod';
-import type {RuleFacts, RuleThen} from '@radishyoke/core/rules/rule';
+import type {RuleFacts, RuleAction} from '@radishyoke/core/rules/rule';
 import {
   explainRules,
   RuleExplanation,
@@ -111,7 +111,7 @@
   return `skip  [rule.${rule}]: ${reasons.join('; ')}`;
 }
 
-function renderThen(then: RuleThen): string {
+function renderThen(then: RuleAction): string {
   if (then.kind === 'refuse') return `refuse with ${then.error}`;
   const details = Object.entries(then)
     .filter(
--- a/packages/cli/src/keys_command.ts
+++ b/packages/cli/src/keys_command.ts
@@ -3,7 +3,7 @@
  * docs/CONFIGURATION.md is this output; a test compares the two.
  */
 
-import {KeySpec, SectionSpec} from '@radishyoke/core/rules/key_rule';
+import {KeySpec, SectionSpec} from '@radishyoke/core/rules/key_spec';
 import {
   CONFIG_SPEC,
   GROUP_SPEC,
@@ -85,11 +85,17 @@
 
 function renderRow(key: string, spec: KeySpec<unknown>): string {
   const {unit, range} = spec.type;
-  const cells = [`\`${key}\``, unit, renderDefault(spec), range, spec.about];
+  const cells = [
+    `\`${key}\``,
+    unit,
+    renderDefault(spec),
+    range,
+    spec.description,
+  ];
   return `| ${cells.map(cell => cell.replaceAll('|', '\\|')).join(' | ')} |`;
 }
 
-function renderDefault({fallback, optional}: KeySpec<unknown>): string {
-  if (fallback !== undefined) return `\`${fallback}\``;
+function renderDefault({defaultText, optional}: KeySpec<unknown>): string {
+  if (defaultText !== undefined) return `\`${defaultText}\``;
   return optional ? 'none' : 'required';
 }
--- a/packages/cli/src/trace_command.ts
+++ b/packages/cli/src/trace_command.ts
@@ -5,7 +5,7 @@
   parseTraceLines,
   type TraceLine,
 } from '@radishyoke/core/trace/trace_line';
-import {tracePath, type TraceStep} from '@radishyoke/core/trace/trace_path';
+import {tracePath, type TraceEntry} from '@radishyoke/core/trace/trace_path';
 import type {CliIo} from './cli_io.js';
 import {EXIT_CODES, ExitCode} from './exit_code.js';
 import {renderTable} from './table.js';
@@ -55,13 +55,13 @@
   }
 }
 
-function toJson({atMs, role, line}: TraceStep) {
+function toJson({atMs, role, line}: TraceEntry) {
   const {vm, event, fields} = line;
   return {atMs, role, vm, event, ...fields};
 }
 
 /** One line a step; times from the first line that names the subject, s. */
-function renderPath(path: readonly TraceStep[]): string {
+function renderPath(path: readonly TraceEntry[]): string {
   const originMs = path.find(({role}) => role !== 'context')!.atMs;
   return renderTable(
     ['s', '', 'vm', 'event', 'why'],
--- a/packages/core/src/__tests__/config_transfer.spec.ts
+++ b/packages/core/src/__tests__/config_transfer.spec.ts
@@ -41,10 +41,10 @@
 // 2. It goes back to rules that were replaced, or misses a version between two.
 test('transfers between VMs never turn one back and leave no gap', t => {
   const {records} = createStream();
-  const truth = new ConfigHistory(() => undefined);
+  const reference = new ConfigHistory(() => undefined);
   const currentAt = records.map(record => {
-    truth.apply(record);
-    return truth.current(TEAM)?.version;
+    reference.apply(record);
+    return reference.current(TEAM)?.version;
   });
   const details = fc.check(
     fc.property(fc.array(event, {maxLength: 60, size: 'max'}), events => {
@@ -52,7 +52,7 @@
         {length: VMS},
         () => new ConfigHistory(() => undefined),
       );
-      let waiting: ConfigTransfer | undefined;
+      let delayedTransfer: ConfigTransfer | undefined;
       return events.every(({vm, from, records: count, delayed}) => {
         const history = vms[vm]!;
         const before = history.next;
@@ -60,8 +60,8 @@
           records.slice(before, before + count).forEach(r => history.apply(r));
         } else {
           const transfer = vms[from]!.exportRecords(before);
-          if (waiting) history.importRecords(waiting);
-          waiting = delayed ? transfer : undefined;
+          if (delayedTransfer) history.importRecords(delayedTransfer);
+          delayedTransfer = delayed ? transfer : undefined;
           if (!delayed) history.importRecords(transfer);
         }
         const version = history.current(TEAM)?.version;
--- a/packages/core/src/__tests__/decoder_fuzz.spec.ts
+++ b/packages/core/src/__tests__/decoder_fuzz.spec.ts
@@ -5,7 +5,7 @@
 import {MetricRegistry} from '../metrics/metrics.js';
 import {explainRules} from '../rules/rule_explanation.js';
 import {compileRules, resolveRule} from '../rules/rule_matcher.js';
-import {canonicalPath} from '../rules/rule_path.js';
+import {canonicalizePath} from '../rules/rule_path.js';
 import {checkRuleText, parseRuleText} from '../rules/rule_text.js';
 
 const SEED = 20261202;
@@ -113,7 +113,7 @@
     )
     .map(parts => `/${parts.join('')}`);
   const property = fc.property(pathArbitrary, path => {
-    const once = canonicalPath(path);
+    const once = canonicalizePath(path);
     return !/\/\.\.?(\/|$)|\/\//.test(once);
   });
   t.notThrows(() => fc.assert(property, {seed: SEED, numRuns: RUNS}));
--- a/packages/core/src/__tests__/naive_rule_matcher.ts
+++ b/packages/core/src/__tests__/naive_rule_matcher.ts
@@ -1,13 +1,13 @@
 /** The shortest right way to find a rule: try each condition of each in turn. */
 
-import type {RuleFacts, RuleSet, RuleWhen} from '../rules/rule.js';
+import type {RuleFacts, RuleSet, RuleConditions} from '../rules/rule.js';
 
 /** Index of the first rule that matches, or -1. Paths must be canonical. */
 export function findRuleNaively(ruleSet: RuleSet, facts: RuleFacts): number {
-  return ruleSet.rules.findIndex(({when}) => holds(when, facts));
+  return ruleSet.rules.findIndex(({when}) => matchesConditions(when, facts));
 }
 
-function holds(when: RuleWhen, facts: RuleFacts): boolean {
+function matchesConditions(when: RuleConditions, facts: RuleFacts): boolean {
   const accepts = (values: readonly string[] | undefined, value?: string) =>
     !values || (value !== undefined && values.includes(value));
   return (
--- a/packages/core/src/audit/__tests__/audit_export.spec.ts
+++ b/packages/core/src/audit/__tests__/audit_export.spec.ts
@@ -5,7 +5,7 @@
   AuditChain,
   hashBlock,
   type AuditBlock,
-  type PlacedHead,
+  type LoggedHead,
   type UnstampedBlock,
 } from '../audit_chain.js';
 import type {AuditEntry} from '../audit_entry.js';
@@ -33,7 +33,7 @@
   };
 }
 
-function stamp(block: UnstampedBlock): AuditBlock {
+function addStamp(block: UnstampedBlock): AuditBlock {
   const vm = block.writer.split('/')[0]!;
   return {...block, stamp: createStamp(vm, block.number)};
 }
@@ -41,11 +41,11 @@
 /** A stream in which each block names the heads before it, as anchors do. */
 function createRecords(choices: readonly number[]): AuditRecord[] {
   const chains = WRITERS.map(writer => new AuditChain(writer));
-  const heads = new Map<string, PlacedHead>();
+  const heads = new Map<string, LoggedHead>();
   return choices.map((choice, offset) => {
     const chain = chains[choice % chains.length]!;
     const others = [...heads.values()].filter(h => h.writer !== chain.writer);
-    const value = stamp(chain.seal([createEntry(`r${offset}`)], others));
+    const value = addStamp(chain.seal([createEntry(`r${offset}`)], others));
     heads.set(chain.writer, {...chain.head, offset});
     return {offset, timeMs: offset, value};
   });
@@ -84,14 +84,19 @@
       fc.nat(BLOCKS + 1),
       fc.nat(),
       fc.nat(3),
-      (list, at, where, how) => {
+      (list, lineIndex, charIndex, change) => {
         const lines = exportLines(createRecords(list));
-        const line = lines[at]!;
-        if (how === 0) lines.splice(at, 1);
-        if (how === 1) lines.splice(at, 0, line);
-        if (how === 2) lines[at] = replaceAt(line, where % line.length);
-        if (how === 3)
-          lines.splice((at + 1) % lines.length, 0, ...lines.splice(at, 1));
+        const line = lines[lineIndex]!;
+        if (change === 0) lines.splice(lineIndex, 1);
+        if (change === 1) lines.splice(lineIndex, 0, line);
+        if (change === 2)
+          lines[lineIndex] = replaceAt(line, charIndex % line.length);
+        if (change === 3)
+          lines.splice(
+            (lineIndex + 1) % lines.length,
+            0,
+            ...lines.splice(lineIndex, 1),
+          );
         t.true(verifyExport(lines).faults.length > 0);
       },
     ),
@@ -136,7 +141,7 @@
   {
     name: 'puts in a block of a writer that never was',
     forge: (records, at) => {
-      const value = stamp(
+      const value = addStamp(
         new AuditChain('x/i1').seal([createEntry('forged')], []),
       );
       return renumber([
@@ -170,10 +175,10 @@
 // Who rewrites every chain from some block on leaves no trace inside the export.
 test('a wholly rewritten end is found by a head kept elsewhere only', t => {
   const records = createRecords([0, 1, 2, 0, 1, 2]);
-  const kept = verifyExport(exportLines(records)).heads;
+  const storedHeads = verifyExport(exportLines(records)).heads;
   const rewritten = createRecords([0, 1, 2, 0, 2, 1]);
   t.deepEqual(verifyExport(exportLines(rewritten)).faults, []);
-  t.true(verifyExport(exportLines(rewritten), kept).faults.length > 0);
+  t.true(verifyExport(exportLines(rewritten), storedHeads).faults.length > 0);
 });
 
 // The log was down for long and the VM's buffer ran full.
@@ -187,7 +192,7 @@
   const records = blocks.map((block, offset) => ({
     offset,
     timeMs: 0,
-    value: stamp(block),
+    value: addStamp(block),
   }));
   const open = verifyExport(exportLines(records.slice(0, 1)));
   t.is(open.dropped, 7);
--- a/packages/core/src/audit/audit_chain.ts
+++ b/packages/core/src/audit/audit_chain.ts
@@ -16,7 +16,7 @@
 }
 
 /** A head with the offset at which the log took its block. */
-export interface PlacedHead extends ChainHead {
+export interface LoggedHead extends ChainHead {
   readonly offset: number;
 }
 
@@ -35,7 +35,7 @@
    * chains to one another: whoever rewrites the end of one has to rewrite every
    * later block that names it too.
    */
-  readonly witnessed: readonly PlacedHead[];
+  readonly witnessed: readonly LoggedHead[];
   readonly hash: string;
 }
 
@@ -52,31 +52,31 @@
 
 /** Chains the blocks of one writer. */
 export class AuditChain {
-  private last: ChainHead;
+  private lastHead: ChainHead;
 
   constructor(readonly writer: string) {
-    this.last = {writer, number: 0, hash: ''};
+    this.lastHead = {writer, number: 0, hash: ''};
   }
 
   get head(): ChainHead {
-    return this.last;
+    return this.lastHead;
   }
 
   /** Builds the next block. */
   seal(
     entries: readonly AuditEntry[],
-    witnessed: readonly PlacedHead[],
+    witnessed: readonly LoggedHead[],
   ): UnstampedBlock {
     const body = {
       kind: 'audit_block' as const,
       writer: this.writer,
-      number: this.last.number + 1,
-      previous: this.last.hash,
+      number: this.lastHead.number + 1,
+      previous: this.lastHead.hash,
       entries,
       witnessed,
     };
     const hash = hashBlock(body);
-    this.last = {writer: this.writer, number: body.number, hash};
+    this.lastHead = {writer: this.writer, number: body.number, hash};
     return {...body, hash};
   }
 }
--- a/packages/core/src/audit/audit_entry.ts
+++ b/packages/core/src/audit/audit_entry.ts
@@ -88,7 +88,7 @@
     };
 
 /** What an audit entry names; each kind of entry has some of these. */
-export interface AuditNames {
+export interface AuditSubjectFields {
   readonly kind?: string;
   readonly request?: string;
   readonly step?: string;
@@ -97,8 +97,11 @@
 }
 
 /** Whether an entry tells of a request, a step or a rollout by this name. */
-export function concernsSubject(names: AuditNames, subject: string): boolean {
-  const {request, step, group, sample} = names;
+export function concernsSubject(
+  fields: AuditSubjectFields,
+  subject: string,
+): boolean {
+  const {request, step, group, sample} = fields;
   if (request === subject || step === subject) return true;
   return group !== undefined && `${step}/${group}/${sample}` === subject;
 }
--- a/packages/core/src/audit/audit_export.ts
+++ b/packages/core/src/audit/audit_export.ts
@@ -9,7 +9,7 @@
   type AuditBlock,
   type ChainHead,
   hashBlock,
-  type PlacedHead,
+  type LoggedHead,
 } from './audit_chain.js';
 import {computeDigest} from '../ledger/digest.js';
 
@@ -50,8 +50,8 @@
   add(record: AuditRecord): string {
     this.records++;
     const {writer, number, hash} = record.value;
-    const known = this.heads.get(writer)?.number ?? 0;
-    if (number > known) this.heads.set(writer, {writer, number, hash});
+    const lastNumber = this.heads.get(writer)?.number ?? 0;
+    if (number > lastNumber) this.heads.set(writer, {writer, number, hash});
     return this.emit(record);
   }
 
@@ -86,7 +86,7 @@
   readonly blocks: number;
   readonly entries: number;
   /** Last head of each writer, to be kept for the check of other exports. */
-  readonly heads: readonly PlacedHead[];
+  readonly heads: readonly LoggedHead[];
   /** Entries that the service itself says it dropped. */
   readonly dropped: number;
   /** Writers whose first block is not in the export and in no given head. */
@@ -99,7 +99,7 @@
 }
 
 interface WriterState {
-  readonly head: PlacedHead;
+  readonly head: LoggedHead;
   readonly closed: boolean;
 }
 
@@ -112,19 +112,19 @@
  */
 export function verifyExport(
   lines: Iterable<string>,
-  anchors: readonly PlacedHead[] = [],
+  anchors: readonly LoggedHead[] = [],
 ): AuditReport {
-  const check = new ExportCheck(anchors);
-  for (const line of lines) check.take(line);
-  return check.finish();
+  const verifier = new ExportVerifier(anchors);
+  for (const line of lines) verifier.verifyLine(line);
+  return verifier.finish();
 }
 
-class ExportCheck {
+class ExportVerifier {
   private readonly faults: AuditFault[] = [];
   private readonly writers = new Map<string, WriterState>();
-  private readonly hashes = new Map<string, string>();
-  private readonly hashAtOffset = new Map<number, string>();
-  private readonly witnessed: Array<{line: number; head: PlacedHead}> = [];
+  private readonly hashByBlock = new Map<string, string>();
+  private readonly hashByOffset = new Map<number, string>();
+  private readonly witnessed: Array<{line: number; head: LoggedHead}> = [];
   private readonly unanchored = new Set<string>();
   private line = 0;
   private digest = '';
@@ -136,17 +136,17 @@
   private dropped = 0;
   private ended = false;
 
-  constructor(private readonly anchors: readonly PlacedHead[]) {}
+  constructor(private readonly anchors: readonly LoggedHead[]) {}
 
-  take(text: string): void {
+  verifyLine(text: string): void {
     this.line++;
     if (this.ended) return this.report('a line after the end');
     const value = parseLine(text);
     if (value === undefined) return this.report('not a JSON object');
-    if (this.line === 1) this.takeHeader(value as Partial<ExportHeader>);
+    if (this.line === 1) this.verifyHeader(value as Partial<ExportHeader>);
     else if (value['kind'] === 'audit_export_end') {
-      return this.takeTrailer(value as Partial<ExportTrailer>);
-    } else this.takeRecord(value as Partial<AuditRecord>);
+      return this.verifyTrailer(value as Partial<ExportTrailer>);
+    } else this.verifyRecord(value as Partial<AuditRecord>);
     this.digest = extendDigest(this.digest, text);
   }
 
@@ -170,7 +170,7 @@
     this.faults.push({line, problem});
   }
 
-  private takeHeader(header: Partial<ExportHeader>): void {
+  private verifyHeader(header: Partial<ExportHeader>): void {
     if (header.kind !== 'audit_export' || header.format !== 1) {
       this.report('not the header of an audit export');
     }
@@ -178,7 +178,7 @@
     this.nextOffset = this.from;
   }
 
-  private takeTrailer(trailer: Partial<ExportTrailer>): void {
+  private verifyTrailer(trailer: Partial<ExportTrailer>): void {
     this.ended = true;
     if (trailer.records !== this.records) {
       this.report('the number of records is not the one written');
@@ -187,12 +187,12 @@
       this.report('the lines are not the ones written');
     }
     const heads = [...this.writers.values()].map(state => state.head);
-    if (!sameHeads(heads, trailer.heads ?? [])) {
+    if (!hasSameHeads(heads, trailer.heads ?? [])) {
       this.report('the chains do not end where they ended');
     }
   }
 
-  private takeRecord(record: Partial<AuditRecord>): void {
+  private verifyRecord(record: Partial<AuditRecord>): void {
     this.records++;
     const {value: block} = record;
     const offset = this.nextOffset++;
@@ -201,33 +201,34 @@
     if (hashBlock(block) !== block.hash) {
       return this.report('the block was changed: its hash does not fit');
     }
-    this.hashAtOffset.set(offset, block.hash);
-    this.chain(block, offset);
+    this.hashByOffset.set(offset, block.hash);
+    this.verifyChain(block, offset);
   }
 
-  private chain(block: AuditBlock, offset: number): void {
+  private verifyChain(block: AuditBlock, offset: number): void {
     const {writer, number, hash} = block;
-    const name = `${writer}#${number}`;
-    const known = this.hashes.get(name);
-    if (known !== undefined) {
+    const blockName = `${writer}#${number}`;
+    const earlierHash = this.hashByBlock.get(blockName);
+    if (earlierHash !== undefined) {
       // A copy, from an append whose answer was lost.
-      if (known !== hash) this.report('two blocks under one number');
+      if (earlierHash !== hash) this.report('two blocks under one number');
       return;
     }
-    this.hashes.set(name, hash);
-    const before = this.writers.get(writer)?.head ?? this.findStart(block);
-    if (number !== before.number + 1) {
-      this.report(`block ${before.number + 1} of ${writer} is missing`);
-    } else if (block.previous !== before.hash) {
+    this.hashByBlock.set(blockName, hash);
+    const previousHead =
+      this.writers.get(writer)?.head ?? this.findPreviousHead(block);
+    if (number !== previousHead.number + 1) {
+      this.report(`block ${previousHead.number + 1} of ${writer} is missing`);
+    } else if (block.previous !== previousHead.hash) {
       this.report(`the chain of ${writer} is broken`);
     }
     if (this.writers.get(writer)?.closed) {
       this.report(`${writer} wrote after its end`);
     }
-    this.count(block, offset);
+    this.recordBlock(block, offset);
   }
 
-  private count(block: AuditBlock, offset: number): void {
+  private recordBlock(block: AuditBlock, offset: number): void {
     const {writer, number, hash} = block;
     this.blocks++;
     this.entries += block.entries.length;
@@ -243,7 +244,7 @@
   }
 
   /** The head before the first block of a writer in this export. */
-  private findStart(block: AuditBlock): ChainHead {
+  private findPreviousHead(block: AuditBlock): ChainHead {
     const {writer, number, previous} = block;
     if (number === 1) return {writer, number: 0, hash: ''};
     const anchor = this.anchors.find(
@@ -265,10 +266,10 @@
   }
 
   /** Compares a head known from elsewhere with what stands at its offset. */
-  private checkHead(head: PlacedHead, source: string, line?: number): void {
+  private checkHead(head: LoggedHead, source: string, line?: number): void {
     const isCovered = head.offset >= this.from && head.offset < this.nextOffset;
     if (!isCovered) return;
-    if (this.hashAtOffset.get(head.offset) === head.hash) return;
+    if (this.hashByOffset.get(head.offset) === head.hash) return;
     const name = `block ${head.number} of ${head.writer}`;
     this.report(`${name} is not where ${source} saw it`, line);
   }
@@ -285,11 +286,14 @@
   }
 }
 
-function sameHeads(a: readonly ChainHead[], b: readonly ChainHead[]): boolean {
-  const names = (heads: readonly ChainHead[]) =>
+function hasSameHeads(
+  a: readonly ChainHead[],
+  b: readonly ChainHead[],
+): boolean {
+  const describeHeads = (heads: readonly ChainHead[]) =>
     heads
       .map(head => `${head.writer}#${head.number}#${head.hash}`)
       .sort()
       .join();
-  return names(a) === names(b);
+  return describeHeads(a) === describeHeads(b);
 }
--- a/packages/core/src/audit/recorded_request.ts
+++ b/packages/core/src/audit/recorded_request.ts
@@ -13,9 +13,9 @@
 }
 
 /** Most requests kept for one tenant; newer ones push out older ones. */
-export const REQUESTS_KEPT_PER_TENANT = 256;
+export const MAX_REQUESTS_PER_TENANT = 256;
 /** Most tenants that requests are kept for. */
-const TENANTS_KEPT = 64;
+const MAX_TENANTS = 64;
 const MAX_PATH_CHARS = 512;
 const MAX_HEADER_CHARS = 256;
 const MAX_HEADERS = 24;
@@ -27,18 +27,18 @@
 /** Requests by tenant, a bounded number of each. */
 export class RequestRecorder {
   private readonly byTenant = new Map<TenantId, RecordedRequest[]>();
-  private readonly turns = new Map<TenantId, number>();
+  private readonly recordedCounts = new Map<TenantId, number>();
 
   record(facts: RuleFacts, nowMs: number): void {
-    const kept = this.byTenant.get(facts.tenant);
-    if (!kept) {
-      if (this.byTenant.size >= TENANTS_KEPT) return;
-      this.byTenant.set(facts.tenant, [trim(facts, nowMs)]);
+    const ring = this.byTenant.get(facts.tenant);
+    if (!ring) {
+      if (this.byTenant.size >= MAX_TENANTS) return;
+      this.byTenant.set(facts.tenant, [sanitizeRequest(facts, nowMs)]);
       return;
     }
-    const turn = this.turns.get(facts.tenant) ?? 1;
-    kept[turn % REQUESTS_KEPT_PER_TENANT] = trim(facts, nowMs);
-    this.turns.set(facts.tenant, turn + 1);
+    const count = this.recordedCounts.get(facts.tenant) ?? 1;
+    ring[count % MAX_REQUESTS_PER_TENANT] = sanitizeRequest(facts, nowMs);
+    this.recordedCounts.set(facts.tenant, count + 1);
   }
 
   /** Requests of `tenants`, in no order. */
@@ -49,7 +49,7 @@
   }
 }
 
-function trim(facts: RuleFacts, atMs: number): RecordedRequest {
+function sanitizeRequest(facts: RuleFacts, atMs: number): RecordedRequest {
   const headers = Object.entries(facts.headers)
     .filter(([name, value]) => isSafeHeader(name, value))
     .slice(0, MAX_HEADERS);
--- a/packages/core/src/membership/membership.ts
+++ b/packages/core/src/membership/membership.ts
@@ -9,7 +9,7 @@
  */
 
 import type {VmId} from '@radishyoke/shared/ids';
-import {ConfigExchange} from '../rules/config_exchange.js';
+import {ConfigCatchUp} from '../rules/config_catch_up.js';
 import {
   createRandomBits,
   drawBelow,
@@ -40,7 +40,7 @@
   private readonly contacts: ContactTable;
   private readonly rumours = new RumourFilter();
   private readonly relays = new RelayTable();
-  private readonly configs = new ConfigExchange();
+  private readonly configs = new ConfigCatchUp();
   private readonly random: RandomBits;
   private inFlight: InFlight = new Map();
   private servingStale = true;
@@ -285,7 +285,7 @@
       const inFlight = contact.received;
       this.actions.push({kind: 'peer_load', vm: from, inFlight});
     }
-    if (this.configs.notice(payload.configNext)) {
+    if (this.configs.recordPeerNext(payload.configNext)) {
       this.actions.push({kind: 'config_seen', next: payload.configNext});
     }
     this.requestConfig(nowMs);
@@ -374,7 +374,7 @@
 
   private requestConfig(nowMs: number): void {
     const from = this.configs.ownNext();
-    if (this.configs.seenNext() <= from) return;
+    if (this.configs.highestSeenNext() <= from) return;
     const ahead = this.contacts.listAhead(from);
     const source = this.configs.chooseSource(ahead, nowMs);
     if (source) this.send(source, {kind: 'config_request', from});
--- a/packages/core/src/metrics/metrics.ts
+++ b/packages/core/src/metrics/metrics.ts
@@ -85,7 +85,7 @@
     value: number,
   ): void {
     const bounded = Math.min(Math.max(0, Math.round(value)), MAX_VALUE);
-    this.openHistogram(name, tenant, workClass).recordValue(bounded);
+    this.getOrCreateHistogram(name, tenant, workClass).recordValue(bounded);
   }
 
   /** Adds `by` to a counter. */
@@ -94,12 +94,12 @@
     tenant: string,
     workClass: WorkClass,
     label = '',
-    by = 1,
+    increment = 1,
   ): void {
-    const {values} = this.openCounter(name, tenant, workClass);
-    const room = values.has(label) || values.size < MAX_COUNTER_LABELS;
-    const kept = room ? label : OVERFLOW_SERIES;
-    values.set(kept, (values.get(kept) ?? 0) + by);
+    const {values} = this.getOrCreateCounter(name, tenant, workClass);
+    const hasRoom = values.has(label) || values.size < MAX_COUNTER_LABELS;
+    const seriesLabel = hasRoom ? label : OVERFLOW_SERIES;
+    values.set(seriesLabel, (values.get(seriesLabel) ?? 0) + increment);
   }
 
   listHistograms(): readonly HistogramSeries[] {
@@ -162,7 +162,7 @@
       decoded.push({...series, histogram});
     }
     for (const {name, tenant, workClass, histogram} of decoded) {
-      this.openHistogram(name, tenant, workClass).add(histogram);
+      this.getOrCreateHistogram(name, tenant, workClass).add(histogram);
     }
     for (const {name, tenant, workClass, label, value} of encoded.counters) {
       this.addCount(name, tenant, workClass, label, value);
@@ -170,31 +170,36 @@
     return succeed(undefined);
   }
 
-  private openHistogram(
+  private getOrCreateHistogram(
     name: HistogramName,
     tenant: string,
     workClass: WorkClass,
   ): Int32Histogram {
-    const owner = this.boundTenant(tenant);
-    const key = `${name}/${workClass}/${owner}`;
+    const seriesTenant = this.limitTenant(tenant);
+    const key = `${name}/${workClass}/${seriesTenant}`;
     let series = this.histograms.get(key);
     if (!series) {
-      series = {name, tenant: owner, workClass, histogram: createHistogram()};
+      series = {
+        name,
+        tenant: seriesTenant,
+        workClass,
+        histogram: createHistogram(),
+      };
       this.histograms.set(key, series);
     }
     return series.histogram;
   }
 
-  private openCounter(
+  private getOrCreateCounter(
     name: CounterName,
     tenant: string,
     workClass: WorkClass,
   ): Counter {
-    const owner = this.boundTenant(tenant);
-    const key = `${name}/${workClass}/${owner}`;
+    const seriesTenant = this.limitTenant(tenant);
+    const key = `${name}/${workClass}/${seriesTenant}`;
     let counter = this.counters.get(key);
     if (!counter) {
-      counter = {name, tenant: owner, workClass, values: new Map()};
+      counter = {name, tenant: seriesTenant, workClass, values: new Map()};
       this.counters.set(key, counter);
     }
     return counter;
@@ -205,7 +210,7 @@
    * each; it shows as memory that grows without load. All beyond the bound
    * share one series.
    */
-  private boundTenant(tenant: string): string {
+  private limitTenant(tenant: string): string {
     if (this.tenants.has(tenant)) return tenant;
     if (this.tenants.size >= MAX_TENANT_SERIES) return OVERFLOW_SERIES;
     this.tenants.add(tenant);
--- a/packages/core/src/metrics/metrics_text.ts
+++ b/packages/core/src/metrics/metrics_text.ts
@@ -57,25 +57,25 @@
   const unit = spec.unit === 'ms' ? 'seconds' : spec.unit;
   const metric = `${PREFIX}${name}_${unit}`;
   const lines = [`# HELP ${metric} ${spec.help}`, `# TYPE ${metric} histogram`];
-  for (const one of series) {
-    const {totalCount, mean} = one.histogram;
-    const counts = countUpTo(one, spec.bounds);
+  for (const entry of series) {
+    const {totalCount, mean} = entry.histogram;
+    const counts = countCumulatively(entry, spec.bounds);
     spec.bounds.forEach((bound, i) => {
       const le = String(bound / scale);
-      lines.push(`${metric}_bucket${renderLabels(one, {le})} ${counts[i]}`);
+      lines.push(`${metric}_bucket${renderLabels(entry, {le})} ${counts[i]}`);
     });
     const sum = totalCount === 0 ? 0 : (mean * totalCount) / scale;
     lines.push(
-      `${metric}_bucket${renderLabels(one, {le: '+Inf'})} ${totalCount}`,
-      `${metric}_sum${renderLabels(one)} ${sum}`,
-      `${metric}_count${renderLabels(one)} ${totalCount}`,
+      `${metric}_bucket${renderLabels(entry, {le: '+Inf'})} ${totalCount}`,
+      `${metric}_sum${renderLabels(entry)} ${sum}`,
+      `${metric}_count${renderLabels(entry)} ${totalCount}`,
     );
   }
   return lines;
 }
 
 /** Values at or under each bound, in one pass. */
-function countUpTo(
+function countCumulatively(
   {histogram}: HistogramSeries,
   bounds: readonly number[],
 ): readonly number[] {
@@ -103,16 +103,17 @@
     `# HELP ${metric} ${help}`,
     `# TYPE ${metric} counter`,
     ...series.map(
-      one => `${metric}${renderLabels(one, {[label]: one.label})} ${one.value}`,
+      entry =>
+        `${metric}${renderLabels(entry, {[label]: entry.label})} ${entry.value}`,
     ),
   ];
 }
 
 function renderLabels(
   {tenant, workClass}: SeriesKey,
-  more: Readonly<Record<string, string>> = {},
+  extraLabels: Readonly<Record<string, string>> = {},
 ): string {
-  const labels = Object.entries({tenant, class: workClass, ...more});
+  const labels = Object.entries({tenant, class: workClass, ...extraLabels});
   const pairs = labels.map(([name, value]) => `${name}="${escapeText(value)}"`);
   return `{${pairs.join(',')}}`;
 }
--- a/packages/core/src/rules/__tests__/rule_matcher.spec.ts
+++ b/packages/core/src/rules/__tests__/rule_matcher.spec.ts
@@ -1,15 +1,15 @@
 import test from 'ava';
 import fc from 'fast-check';
 import {toDataCentreId, toTeamId, toTenantId} from '@radishyoke/shared/ids';
-import type {Rule, RuleFacts, RuleSet, RuleThen} from '../rule.js';
+import type {Rule, RuleFacts, RuleSet, RuleAction} from '../rule.js';
 import {explainRules} from '../rule_explanation.js';
 import {compileRules, resolveRule} from '../rule_matcher.js';
-import {canonicalPath} from '../rule_path.js';
+import {canonicalizePath} from '../rule_path.js';
 import {findRuleNaively} from '../../__tests__/naive_rule_matcher.js';
 
 const SEED = 20261202;
 
-const route: RuleThen = {
+const route: RuleAction = {
   kind: 'route',
   group: 'tutors',
   maxAttempts: 3,
@@ -121,7 +121,7 @@
     t.is(resolveRule(compiled, createFacts({path}))?.index, 0, path);
   }
   t.is(resolveRule(compiled, createFacts({path: '/orders/can'}))?.index, 1);
-  t.is(canonicalPath('/'), '');
+  t.is(canonicalizePath('/'), '');
 });
 
 test('an explanation names each condition that does not hold', t => {
--- a/packages/core/src/rules/config_exchange.ts
+++ b/packages/core/src/rules/config_catch_up.ts
@@ -7,11 +7,11 @@
 import type {VmId} from '@radishyoke/shared/ids';
 import {MEMBERSHIP_TIMING} from '../membership/membership_timing.js';
 
-export class ConfigExchange {
+export class ConfigCatchUp {
   private next = 0;
-  private seen = 0;
-  private askedAtMs = -Infinity;
-  private asked: VmId | undefined;
+  private highestSeen = 0;
+  private requestedAtMs = -Infinity;
+  private lastSource: VmId | undefined;
 
   /** Offset of the first record that this VM lacks. */
   ownNext(): number {
@@ -19,35 +19,35 @@
   }
 
   /** Greatest offset that any VM told of, own included. */
-  seenNext(): number {
-    return this.seen;
+  highestSeenNext(): number {
+    return this.highestSeen;
   }
 
   /** This VM folded records up to `next`; says whether that is news. */
   advance(next: number): boolean {
     if (next <= this.next) return false;
     this.next = next;
-    this.seen = Math.max(this.seen, next);
-    this.askedAtMs = -Infinity;
+    this.highestSeen = Math.max(this.highestSeen, next);
+    this.requestedAtMs = -Infinity;
     return true;
   }
 
   /** A VM told of `next`; says whether that is the greatest so far. */
-  notice(next: number): boolean {
-    if (next <= this.seen) return false;
-    this.seen = next;
+  recordPeerNext(next: number): boolean {
+    if (next <= this.highestSeen) return false;
+    this.highestSeen = next;
     return true;
   }
 
   /** The VM to ask now, out of those that are ahead. */
   chooseSource(ahead: readonly VmId[], nowMs: number): VmId | undefined {
-    if (this.seen <= this.next || ahead.length === 0) return undefined;
-    if (nowMs - this.askedAtMs < MEMBERSHIP_TIMING.configRetryMs) {
+    if (this.highestSeen <= this.next || ahead.length === 0) return undefined;
+    if (nowMs - this.requestedAtMs < MEMBERSHIP_TIMING.configRetryMs) {
       return undefined;
     }
-    const others = ahead.filter(vm => vm !== this.asked);
-    this.asked = others[0] ?? ahead[0];
-    this.askedAtMs = nowMs;
-    return this.asked;
+    const others = ahead.filter(vm => vm !== this.lastSource);
+    this.lastSource = others[0] ?? ahead[0];
+    this.requestedAtMs = nowMs;
+    return this.lastSource;
   }
 }
--- a/packages/core/src/rules/config_history.ts
+++ b/packages/core/src/rules/config_history.ts
@@ -57,7 +57,7 @@
 }
 
 /** A record with what became of it. */
-export interface JudgedConfig {
+export interface AppliedConfig {
   readonly record: LoggedRecord<ConfigRecord>;
   readonly outcome: ConfigOutcome;
 }
@@ -76,14 +76,14 @@
 /** Version of a team without any. */
 export const NO_VERSION = -1;
 /** Versions kept of each team; older ones are in the audit export. */
-const VERSIONS_KEPT = 10;
-const WRITER_KEPT_MS = 3_600_000;
+const MAX_VERSIONS_PER_TEAM = 10;
+const WRITER_RETENTION_MS = 3_600_000;
 /** Records kept to be given to other VMs. */
-const RECENT_KEPT = 64;
+const MAX_RECENT_RECORDS = 64;
 /** Outcomes kept to answer operators who ask what became of a publication. */
-const OUTCOMES_KEPT = 1000;
+const MAX_OUTCOMES = 1000;
 
-function nameStamp(stamp: Stamp): string {
+function buildStampKey(stamp: Stamp): string {
   return `${nameWriter(stamp)}/${stamp.seq}`;
 }
 
@@ -134,19 +134,19 @@
 
   /** What became of the publication with this stamp, if it was read. */
   outcomeOf(stamp: Stamp): ConfigOutcome | undefined {
-    return this.outcomes.get(nameStamp(stamp));
+    return this.outcomes.get(buildStampKey(stamp));
   }
 
   /** Applies the next record and tells what became of it. */
   apply(record: LoggedRecord<ConfigRecord>): ConfigOutcome {
     this.nextOffset = record.offset + 1;
-    this.keepRecent(record);
+    this.addRecent(record);
     const nowMs = this.clock.advance(record.timeMs);
-    this.writers.dropBefore(nowMs - WRITER_KEPT_MS);
+    this.writers.dropBefore(nowMs - WRITER_RETENTION_MS);
     const {value} = record;
     if (!this.writers.admit(value.stamp, nowMs)) return {kind: 'copy'};
-    const outcome = this.judge(record);
-    this.remember(value.stamp, outcome);
+    const outcome = this.decideOutcome(record);
+    this.storeOutcome(value.stamp, outcome);
     return outcome;
   }
 
@@ -165,14 +165,14 @@
    * knows already is left out, and a gap is refused: a VM that was paused for
    * long can send nothing that turns this one back.
    */
-  importRecords(transfer: ConfigTransfer): readonly JudgedConfig[] {
+  importRecords(transfer: ConfigTransfer): readonly AppliedConfig[] {
     if (transfer.kind === 'snapshot') {
       if (transfer.snapshot.next > this.nextOffset) {
         this.restore(transfer.snapshot);
       }
       return [];
     }
-    const applied: JudgedConfig[] = [];
+    const applied: AppliedConfig[] = [];
     for (const record of transfer.records) {
       if (record.offset !== this.nextOffset) continue;
       applied.push({record, outcome: this.apply(record)});
@@ -201,7 +201,7 @@
     }
   }
 
-  private keepRecent(record: LoggedRecord<ConfigRecord>): void {
+  private addRecent(record: LoggedRecord<ConfigRecord>): void {
     if (record.value.kind === 'checkpoint_part') {
       // A checkpoint's text would be kept and sent many times over; who lacks
       // records before it gets the snapshot.
@@ -209,10 +209,10 @@
       return;
     }
     this.recent.push(record);
-    if (this.recent.length > RECENT_KEPT) this.recent.shift();
+    if (this.recent.length > MAX_RECENT_RECORDS) this.recent.shift();
   }
 
-  private judge({
+  private decideOutcome({
     value,
     offset,
     timeMs,
@@ -252,15 +252,15 @@
       text,
       publishedAtMs: timeMs,
     });
-    this.teams.set(team, versions.slice(-VERSIONS_KEPT));
+    this.teams.set(team, versions.slice(-MAX_VERSIONS_PER_TEAM));
     return {kind: 'accepted', version: offset};
   }
 
-  private remember(stamp: Stamp, outcome: ConfigOutcome): void {
-    this.outcomes.set(nameStamp(stamp), outcome);
-    for (const name of this.outcomes.keys()) {
-      if (this.outcomes.size <= OUTCOMES_KEPT) return;
-      this.outcomes.delete(name);
+  private storeOutcome(stamp: Stamp, outcome: ConfigOutcome): void {
+    this.outcomes.set(buildStampKey(stamp), outcome);
+    for (const key of this.outcomes.keys()) {
+      if (this.outcomes.size <= MAX_OUTCOMES) return;
+      this.outcomes.delete(key);
     }
   }
 }
--- a/packages/core/src/rules/config_problem.ts
+++ b/packages/core/src/rules/config_problem.ts
@@ -16,7 +16,7 @@
 /** Renders a problem as one line for a terminal or a log. */
 export function formatProblem(problem: ConfigProblem): string {
   const {file, line, section, key, expected, found} = problem;
-  const place = line > 0 ? `${file}:${line}` : file;
-  const where = [section && `[${section}]`, key].filter(Boolean).join(' ');
-  return `${place}: ${where || 'file'}: expected ${expected}, found ${found}`;
+  const location = line > 0 ? `${file}:${line}` : file;
+  const subject = [section && `[${section}]`, key].filter(Boolean).join(' ');
+  return `${location}: ${subject || 'file'}: expected ${expected}, found ${found}`;
 }
--- a/packages/core/src/rules/ini_text.ts
+++ b/packages/core/src/rules/ini_text.ts
@@ -47,7 +47,7 @@
   text
     .replace(/^\uFEFF/, '')
     .split(/\r?\n/)
-    .forEach((line, index) => reader.take(line.trim(), index + 1));
+    .forEach((line, index) => reader.readLine(line.trim(), index + 1));
   return reader.problems.length > 0
     ? fail(reader.problems)
     : succeed([...reader.sections.values()]);
@@ -60,7 +60,7 @@
 
   constructor(private readonly file: string) {}
 
-  take(text: string, line: number): void {
+  readLine(text: string, line: number): void {
     if (BLANK_LINE.test(text)) return;
     const section = SECTION_LINE.exec(text);
     if (section) this.openSection(section[1].trim(), line);
@@ -70,7 +70,13 @@
   private openSection(name: string, line: number): void {
     const earlier = this.sections.get(name);
     if (earlier) {
-      this.report(line, name, '', 'each section once', describeLine(earlier));
+      this.report(
+        line,
+        name,
+        '',
+        'each section once',
+        describeDuplicate(earlier),
+      );
     }
     this.current = {name, line, entries: []};
     this.sections.set(name, this.current);
@@ -86,7 +92,7 @@
     } else {
       const earlier = section.entries.find(e => e.key === entry.key);
       if (earlier) {
-        const found = describeLine(earlier);
+        const found = describeDuplicate(earlier);
         this.report(line, section.name, entry.key, 'each key once', found);
       }
       section.entries.push(entry);
@@ -116,7 +122,7 @@
   return {key, value: String(value), line};
 }
 
-function describeLine(earlier: {readonly line: number}): string {
+function describeDuplicate(earlier: {readonly line: number}): string {
   return `a second one (the first is in line ${earlier.line})`;
 }
 
--- a/packages/core/src/rules/key_rule.ts
+++ b/packages/core/src/rules/key_spec.ts
@@ -20,9 +20,9 @@
 /** One key of a section. */
 export interface KeySpec<T> {
   readonly type: ValueType<T>;
-  readonly about: string;
+  readonly description: string;
   /** Text taken when the key is absent; without one the key is required. */
-  readonly fallback?: string;
+  readonly defaultText?: string;
   /** Absent is a value of its own. */
   readonly optional?: boolean;
 }
@@ -38,25 +38,30 @@
 const SIZE_UNITS_BYTES = {B: 1, KiB: 1024, MiB: 1_048_576} as const;
 
 /** A key that must be there. */
-export function required<T>(type: ValueType<T>, about: string): KeySpec<T> {
-  return {type, about};
+export function required<T>(
+  type: ValueType<T>,
+  description: string,
+): KeySpec<T> {
+  return {type, description: description};
 }
 
 /** A key with a default, written as it would be in the file. */
 export function withDefault<T>(
   type: ValueType<T>,
-  fallback: string,
-  about: string,
+  defaultText: string,
+  description: string,
 ): KeySpec<T> {
-  return {type, about, fallback};
+  return {type, description: description, defaultText: defaultText};
 }
 
 /** A key whose absence has a meaning of its own. */
 export function optional<T>(
   type: ValueType<T>,
-  about: string,
+  description: string,
 ): KeySpec<T | undefined> {
-  return {type, about, optional: true} as KeySpec<T | undefined>;
+  return {type, description: description, optional: true} as KeySpec<
+    T | undefined
+  >;
 }
 
 function createType<T>(
@@ -236,7 +241,7 @@
   problems: ConfigProblem[],
 ): unknown {
   const entry = section.entries.find(e => e.key === key);
-  const text = entry?.value ?? spec.fallback;
+  const text = entry?.value ?? spec.defaultText;
   if (text === undefined && spec.optional) return undefined;
   const parsed = spec.type.schema.safeParse(text);
   if (parsed.success) return parsed.data;
@@ -253,18 +258,18 @@
 
 function reportUnknownKeys(
   section: IniSection,
-  known: readonly string[],
+  allowedKeys: readonly string[],
   file: string,
   problems: ConfigProblem[],
 ): void {
   for (const entry of section.entries) {
-    if (known.includes(entry.key)) continue;
+    if (allowedKeys.includes(entry.key)) continue;
     problems.push({
       file,
       line: entry.line,
       section: section.name,
       key: entry.key,
-      expected: `one of the keys ${known.join(', ')}`,
+      expected: `one of the keys ${allowedKeys.join(', ')}`,
       found: 'an unknown key',
     });
   }
--- a/packages/core/src/rules/rule.ts
+++ b/packages/core/src/rules/rule.ts
@@ -28,7 +28,7 @@
 }
 
 /** Conditions of one rule; all must hold. An absent one always holds. */
-export interface RuleWhen {
+export interface RuleConditions {
   readonly tenant?: readonly string[];
   readonly workClass?: readonly WorkClass[];
   readonly model?: readonly string[];
@@ -69,12 +69,12 @@
   readonly error: ErrorKind;
 }
 
-export type RuleThen = RouteAction | RefuseAction;
+export type RuleAction = RouteAction | RefuseAction;
 
 export interface Rule {
   readonly name: string;
-  readonly when: RuleWhen;
-  readonly then: RuleThen;
+  readonly when: RuleConditions;
+  readonly then: RuleAction;
 }
 
 /** A group of endpoints by id; other groups come from the VM list's labels. */
@@ -96,5 +96,5 @@
   readonly rule: string;
   /** Position in the rule set, from 0. */
   readonly index: number;
-  readonly then: RuleThen;
+  readonly then: RuleAction;
 }
--- a/packages/core/src/rules/rule_comparison.ts
+++ b/packages/core/src/rules/rule_comparison.ts
@@ -34,10 +34,16 @@
   const changed = new Map<string, ChangedDecision>();
   let unchanged = 0;
   for (const {facts} of requests) {
-    const old = decideBefore(facts);
-    const next = decideAfter(facts);
-    if (isSame(old, next)) unchanged++;
-    else addChange(changed, facts, old?.rule ?? '', next?.rule ?? '');
+    const oldDecision = decideBefore(facts);
+    const newDecision = decideAfter(facts);
+    if (isSameDecision(oldDecision, newDecision)) unchanged++;
+    else
+      addChange(
+        changed,
+        facts,
+        oldDecision?.rule ?? '',
+        newDecision?.rule ?? '',
+      );
   }
   const sorted = [...changed.values()].sort((a, b) => b.requests - a.requests);
   return {requests: requests.length, unchanged, changed: sorted};
@@ -51,13 +57,13 @@
   return facts => resolveRule(compiled, facts);
 }
 
-function isSame(
-  old: RuleDecision | undefined,
-  next: RuleDecision | undefined,
+function isSameDecision(
+  before: RuleDecision | undefined,
+  after: RuleDecision | undefined,
 ): boolean {
   return (
-    old?.rule === next?.rule &&
-    JSON.stringify(old?.then) === JSON.stringify(next?.then)
+    before?.rule === after?.rule &&
+    JSON.stringify(before?.then) === JSON.stringify(after?.then)
   );
 }
 
--- a/packages/core/src/rules/rule_explanation.ts
+++ b/packages/core/src/rules/rule_explanation.ts
@@ -2,7 +2,7 @@
 
 import type {Rule, RuleDecision, RuleFacts, RuleSet} from './rule.js';
 import {readHeader} from './rule_matcher.js';
-import {canonicalPath} from './rule_path.js';
+import {canonicalizePath} from './rule_path.js';
 
 /** A condition that does not hold. */
 export interface FailedCondition {
@@ -63,9 +63,9 @@
   check('when.model', when.model, facts.model);
   check('when.method', when.method, facts.method);
   check('when.data_centre', when.dataCentre, facts.dataCentre);
-  const path = canonicalPath(facts.path);
+  const path = canonicalizePath(facts.path);
   check('when.path_prefix', when.pathPrefix, path, prefix =>
-    `${path}/`.startsWith(`${canonicalPath(prefix)}/`),
+    `${path}/`.startsWith(`${canonicalizePath(prefix)}/`),
   );
   for (const [name, expected] of Object.entries(when.headers)) {
     const found = readHeader(facts.headers, name);
--- a/packages/core/src/rules/rule_matcher.ts
+++ b/packages/core/src/rules/rule_matcher.ts
@@ -5,8 +5,14 @@
  * map look-ups and one word operation per 32 rules and condition.
  */
 
-import type {Rule, RuleDecision, RuleFacts, RuleSet, RuleWhen} from './rule.js';
-import {canonicalPath} from './rule_path.js';
+import type {
+  Rule,
+  RuleDecision,
+  RuleFacts,
+  RuleSet,
+  RuleConditions,
+} from './rule.js';
+import {canonicalizePath} from './rule_path.js';
 
 type RuleBits = Uint32Array;
 
@@ -14,7 +20,7 @@
 interface ValueIndex {
   readonly byValue: ReadonlyMap<string, RuleBits>;
   /** Rules that accept any value not listed, or none at all. */
-  readonly others: RuleBits;
+  readonly unconditional: RuleBits;
 }
 
 interface HeaderIndex extends ValueIndex {
@@ -45,8 +51,9 @@
 /** Indexes `ruleSet`; done once per configuration. */
 export function compileRules(ruleSet: RuleSet): CompiledRules {
   const {rules} = ruleSet;
-  const index = (pick: (when: RuleWhen) => readonly string[] | undefined) =>
-    indexValues(rules, pick);
+  const index = (
+    pick: (when: RuleConditions) => readonly string[] | undefined,
+  ) => indexValues(rules, pick);
   return {
     ruleSet,
     tenant: index(when => when.tenant),
@@ -96,24 +103,24 @@
 
 function indexValues(
   rules: readonly Rule[],
-  pick: (when: RuleWhen) => readonly string[] | undefined,
+  pick: (when: RuleConditions) => readonly string[] | undefined,
 ): ValueIndex {
-  const others = createBits(rules.length);
+  const unconditional = createBits(rules.length);
   rules.forEach((rule, i) => {
-    if (!pick(rule.when)) setBit(others, i);
+    if (!pick(rule.when)) setBit(unconditional, i);
   });
   const byValue = new Map<string, RuleBits>();
   rules.forEach((rule, i) => {
     for (const value of pick(rule.when) ?? []) {
-      setBit(getOrAdd(byValue, value, others), i);
+      setBit(getOrAdd(byValue, value, unconditional), i);
     }
   });
-  return {byValue, others};
+  return {byValue, unconditional: unconditional};
 }
 
 function indexPaths(rules: readonly Rule[]): PathIndex {
-  const pick = (when: RuleWhen) => when.pathPrefix?.map(canonicalPath);
-  const {byValue, others} = indexValues(rules, pick);
+  const pick = (when: RuleConditions) => when.pathPrefix?.map(canonicalizePath);
+  const {byValue, unconditional: unconditional} = indexValues(rules, pick);
   const prefixes = [...byValue.keys()].sort((a, b) => a.length - b.length);
   // A path that a long prefix covers is covered by its shorter ones too; adding
   // them here lets a look-up stop at the longest prefix that is listed.
@@ -121,30 +128,35 @@
     const parent = findLongestPrefix(byValue, prefix, prefix.length - 1);
     if (parent) addBits(byValue.get(prefix)!, parent);
   }
-  return {byValue, others, longestPrefix: prefixes.at(-1)?.length ?? 0};
+  return {
+    byValue,
+    unconditional: unconditional,
+    longestPrefix: prefixes.at(-1)?.length ?? 0,
+  };
 }
 
 function indexHeaders(rules: readonly Rule[]): readonly HeaderIndex[] {
   const names = new Set(rules.flatMap(rule => Object.keys(rule.when.headers)));
   return [...names].map(name => {
-    const pick = ({headers}: RuleWhen) =>
+    const pick = ({headers}: RuleConditions) =>
       Object.hasOwn(headers, name) ? headers[name] : undefined;
-    const {byValue, others} = indexValues(rules, pick);
-    const unlisted = byValue.get(ANY_VALUE) ?? others;
+    const {byValue, unconditional: unconditional} = indexValues(rules, pick);
+    const unlisted = byValue.get(ANY_VALUE) ?? unconditional;
     for (const bits of byValue.values()) addBits(bits, unlisted);
-    return {name, byValue, others, unlisted};
+    return {name, byValue, unconditional, unlisted};
   });
 }
 
 function pickBits(index: ValueIndex, value: string | undefined): RuleBits {
-  if (value === undefined) return index.others;
-  return index.byValue.get(value) ?? index.others;
+  if (value === undefined) return index.unconditional;
+  return index.byValue.get(value) ?? index.unconditional;
 }
 
 function pickPathBits(index: PathIndex, path: string): RuleBits {
-  const pure = canonicalPath(path);
+  const canonical = canonicalizePath(path);
   return (
-    findLongestPrefix(index.byValue, pure, index.longestPrefix) ?? index.others
+    findLongestPrefix(index.byValue, canonical, index.longestPrefix) ??
+    index.unconditional
   );
 }
 
@@ -153,7 +165,7 @@
   headers: RuleFacts['headers'],
 ): RuleBits {
   const joined = readHeader(headers, index.name);
-  if (joined === undefined) return index.others;
+  if (joined === undefined) return index.unconditional;
   return index.byValue.get(joined) ?? index.unlisted;
 }
 
--- a/packages/core/src/rules/rule_path.ts
+++ b/packages/core/src/rules/rule_path.ts
@@ -1,6 +1,6 @@
 /** The form in which paths are compared with the prefixes of rules. */
 
-const NEEDS_WORK = /[?#%\\]|\/\/|\/\.|\/$/;
+const NON_CANONICAL = /[?#%\\]|\/\/|\/\.|\/$/;
 const DOT_SEGMENT_OR_ESCAPE = /%|\\|\/\./;
 
 /**
@@ -11,20 +11,21 @@
  * it would run what the rule for `/orders` refuses. Comparing the resolved form
  * leaves no second spelling of a path.
  */
-export function canonicalPath(path: string): string {
-  if (!NEEDS_WORK.test(path)) return path;
-  let pure = path.split(/[?#]/, 1)[0];
-  if (DOT_SEGMENT_OR_ESCAPE.test(pure)) pure = resolveSegments(pure);
-  return pure.replace(/\/{2,}/g, '/').replace(/\/$/, '');
+export function canonicalizePath(path: string): string {
+  if (!NON_CANONICAL.test(path)) return path;
+  let pathname = path.split(/[?#]/, 1)[0];
+  if (DOT_SEGMENT_OR_ESCAPE.test(pathname))
+    pathname = resolveSegments(pathname);
+  return pathname.replace(/\/{2,}/g, '/').replace(/\/$/, '');
 }
 
 function resolveSegments(path: string): string {
-  const kept: string[] = [];
+  const segments: string[] = [];
   for (const segment of unescapePath(path).replace(/\\/g, '/').split('/')) {
-    if (segment === '..') kept.pop();
-    else if (segment !== '.' && segment !== '') kept.push(segment);
+    if (segment === '..') segments.pop();
+    else if (segment !== '.' && segment !== '') segments.push(segment);
   }
-  return `/${kept.join('/')}`;
+  return `/${segments.join('/')}`;
 }
 
 function unescapePath(path: string): string {
--- a/packages/core/src/rules/rule_schema.ts
+++ b/packages/core/src/rules/rule_schema.ts
@@ -12,7 +12,7 @@
   required,
   switchType,
   withDefault,
-} from './key_rule.js';
+} from './key_spec.js';
 import type {WorkClass} from '../scheduling/scheduler.js';
 
 /** Most rules in one rule set. */
--- a/packages/core/src/rules/rule_text.ts
+++ b/packages/core/src/rules/rule_text.ts
@@ -7,8 +7,14 @@
 import {fail, Result, succeed} from '@radishyoke/shared/result';
 import {ConfigProblem, formatProblem} from './config_problem.js';
 import {IniSection, readIni} from './ini_text.js';
-import {readSection, SectionValues} from './key_rule.js';
-import type {Rule, RuleGroup, RuleSet, RuleThen, RuleWhen} from './rule.js';
+import {readSection, SectionValues} from './key_spec.js';
+import type {
+  Rule,
+  RuleGroup,
+  RuleSet,
+  RuleAction,
+  RuleConditions,
+} from './rule.js';
 import {
   CONFIG_SPEC,
   GROUP_SPEC,
@@ -33,7 +39,7 @@
   const ini = readIni(text, file);
   if (!ini.ok) return ini;
   const reader = new RuleSetReader(file);
-  for (const section of ini.value) reader.takeSection(section);
+  for (const section of ini.value) reader.addSection(section);
   return reader.finish();
 }
 
@@ -46,7 +52,7 @@
 
   constructor(private readonly file: string) {}
 
-  takeSection(section: IniSection): void {
+  addSection(section: IniSection): void {
     if (section.name === 'config') {
       this.hasConfig = true;
       this.team = this.read(section, CONFIG_SPEC).team;
@@ -89,11 +95,11 @@
     const entries = section.entries.filter(entry => !isHeader(entry.key));
     const values = this.read({...section, entries}, RULE_SPEC);
     const headers = this.readHeaders(section);
-    const then = this.readThen(section, values);
-    this.rules.push({name, when: toWhen(values, headers), then});
+    const then = this.readAction(section, values);
+    this.rules.push({name, when: toConditions(values, headers), then});
   }
 
-  private readHeaders(section: IniSection): RuleWhen['headers'] {
+  private readHeaders(section: IniSection): RuleConditions['headers'] {
     const headers: Record<string, readonly string[]> = {};
     for (const entry of section.entries) {
       if (!entry.key.startsWith(HEADER_KEY_PREFIX)) continue;
@@ -117,13 +123,13 @@
     return headers;
   }
 
-  private readThen(section: IniSection, values: RuleValues): RuleThen {
+  private readAction(section: IniSection, values: RuleValues): RuleAction {
     if (values['then.refuse'] === undefined) {
       if (!section.entries.some(entry => entry.key === 'then.group')) {
         const expected = 'a group, or then.refuse instead';
         this.report(section, 'then.group', expected, 'nothing');
       }
-      return toRoute(values);
+      return toRouteAction(values);
     }
     for (const entry of section.entries) {
       if (!entry.key.startsWith('then.') || entry.key === 'then.refuse') {
@@ -177,7 +183,10 @@
   }
 }
 
-function toWhen(values: RuleValues, headers: RuleWhen['headers']): RuleWhen {
+function toConditions(
+  values: RuleValues,
+  headers: RuleConditions['headers'],
+): RuleConditions {
   return {
     tenant: values['when.tenant'],
     workClass: values['when.class'],
@@ -189,7 +198,7 @@
   };
 }
 
-function toRoute(values: RuleValues): RuleThen {
+function toRouteAction(values: RuleValues): RuleAction {
   return {
     kind: 'route',
     group: values['then.group'] ?? '',
--- a/packages/core/src/trace/__tests__/trace_path.spec.ts
+++ b/packages/core/src/trace/__tests__/trace_path.spec.ts
@@ -91,11 +91,11 @@
       createLine('b', 3500, 'endpoints left', {endpoints: 'e7,e1', count: 2}),
       createLine('b', 3510, 'endpoints left', {endpoints: 'e8,e9', count: 2}),
     );
-  const told = tracePath(lines, 'item').filter(
+  const shown = tracePath(lines, 'item').filter(
     ({line}) => line.event === 'endpoints left',
   );
   t.deepEqual(
-    told.map(({line}) => line.fields['endpoints']),
+    shown.map(({line}) => line.fields['endpoints']),
     ['e7,e1'],
   );
   t.true(tracePath(lines, 'e9').length > 0);
--- a/packages/core/src/trace/clock_alignment.ts
+++ b/packages/core/src/trace/clock_alignment.ts
@@ -27,7 +27,7 @@
 export function alignClocks(lines: readonly TraceLine[]): ClockOffsets {
   const facts = new Map<string, Map<string, number>>();
   for (const line of lines) {
-    const fact = nameFact(line);
+    const fact = buildFactKey(line);
     if (fact === undefined) continue;
     let times = facts.get(fact);
     if (!times) {
@@ -39,11 +39,11 @@
   const differences = new Map<string, number[]>();
   for (const times of facts.values()) {
     if (times.size < 2) continue;
-    const middle = findMedian([...times.values()]);
+    const medianMs = findMedian([...times.values()]);
     for (const [vm, timeMs] of times) {
-      const known = differences.get(vm) ?? [];
-      known.push(middle - timeMs);
-      differences.set(vm, known);
+      const vmDifferences = differences.get(vm) ?? [];
+      vmDifferences.push(medianMs - timeMs);
+      differences.set(vm, vmDifferences);
     }
   }
   return new Map(
@@ -56,10 +56,10 @@
   return line.timeMs + (offsets.get(line.vm) ?? 0);
 }
 
-function nameFact(line: TraceLine): string | undefined {
-  const names = SHARED_FACTS[line.event];
-  if (!names) return undefined;
-  return [line.event, ...names.map(name => readText(line, name))].join(' ');
+function buildFactKey(line: TraceLine): string | undefined {
+  const fields = SHARED_FACTS[line.event];
+  if (!fields) return undefined;
+  return [line.event, ...fields.map(field => readText(line, field))].join(' ');
 }
 
 function findMedian(values: number[]): number {
--- a/packages/core/src/trace/day_summary.ts
+++ b/packages/core/src/trace/day_summary.ts
@@ -4,13 +4,13 @@
 import {readText, type TraceLine} from './trace_line.js';
 
 /** A span of time, Unix ms; without an end it lasted beyond the logs. */
-export interface Span {
+export interface TimeSpan {
   readonly fromMs: number;
   readonly toMs?: number;
 }
 
 /** A batch from its acceptance to its end. */
-export interface StepSpan extends Span {
+export interface StepSpan extends TimeSpan {
   readonly batch: string;
   readonly model: string;
   readonly step: string;
@@ -18,12 +18,12 @@
 }
 
 /** A VM out of touch with the log, or the one that ran the batches. */
-export interface VmSpan extends Span {
+export interface VmSpan extends TimeSpan {
   readonly vm: string;
 }
 
 /** An order to an engine that was accepted. */
-export interface LoadMark {
+export interface WeightLoad {
   readonly atMs: number;
   readonly endpoint: string;
   readonly model: string;
@@ -31,7 +31,7 @@
 }
 
 /** How often something happened in each second of the day. */
-export interface SecondCounts {
+export interface CountsPerSecond {
   readonly name: string;
   /** By whole seconds from the start of the day. */
   readonly counts: readonly number[];
@@ -43,8 +43,8 @@
   readonly steps: readonly StepSpan[];
   readonly outages: readonly VmSpan[];
   readonly coordinators: readonly VmSpan[];
-  readonly loads: readonly LoadMark[];
-  readonly requests: readonly SecondCounts[];
+  readonly loads: readonly WeightLoad[];
+  readonly requests: readonly CountsPerSecond[];
 }
 
 interface OpenSpan {
@@ -64,7 +64,7 @@
     .map(line => ({line, atMs: alignTime(line, offsets)}))
     .sort((a, b) => a.atMs - b.atMs);
   const day = new DayBuilder();
-  for (const {line, atMs} of aligned) day.take(line, atMs);
+  for (const {line, atMs} of aligned) day.addLine(line, atMs);
   return day.build(aligned[0].atMs, aligned[aligned.length - 1].atMs);
 }
 
@@ -72,47 +72,52 @@
   private readonly steps = new Map<string, StepSpan>();
   private readonly outages: OpenSpan[] = [];
   private readonly coordinators: OpenSpan[] = [];
-  private readonly loads: LoadMark[] = [];
-  private readonly happened = new Map<string, number[]>();
+  private readonly loads: WeightLoad[] = [];
+  private readonly eventTimes = new Map<string, number[]>();
 
-  take(line: TraceLine, atMs: number): void {
+  addLine(line: TraceLine, atMs: number): void {
     switch (line.event) {
       case 'batch accepted':
         return this.openStep(line, atMs);
       case 'batch end':
-        return this.changeStep(readText(line, 'requestId'), step => ({
+        return this.updateStep(readText(line, 'requestId'), step => ({
           toMs: step.toMs ?? atMs,
         }));
       case 'item has a result':
-        return this.changeStep(readText(line, 'batch'), step => ({
+        return this.updateStep(readText(line, 'batch'), step => ({
           results: step.results + 1,
         }));
       case 'topic can not be read':
-        return this.open(this.outages, line, readText(line, 'topic'), atMs);
+        return this.openSpan(this.outages, line, readText(line, 'topic'), atMs);
       case 'topic is read again':
-        return this.close(this.outages, line, readText(line, 'topic'), atMs);
+        return this.closeSpan(
+          this.outages,
+          line,
+          readText(line, 'topic'),
+          atMs,
+        );
       case 'coordinator now':
-        return this.open(this.coordinators, line, '', atMs);
+        return this.openSpan(this.coordinators, line, '', atMs);
       case 'coordinator no more':
-        return this.close(this.coordinators, line, '', atMs);
+        return this.closeSpan(this.coordinators, line, '', atMs);
       case 'order to an engine':
-        return this.takeOrder(line, atMs);
+        return this.addLoad(line, atMs);
       case 'request':
-        return this.count(`answered ${readText(line, 'outcome')}`, atMs);
+        return this.countEvent(`answered ${readText(line, 'outcome')}`, atMs);
       case 'request refused':
-        return this.count(`refused ${readText(line, 'outcome')}`, atMs);
+        return this.countEvent(`refused ${readText(line, 'outcome')}`, atMs);
       case 'batch call refused':
-        return this.count('batch call refused', atMs);
+        return this.countEvent('batch call refused', atMs);
       case 'started':
         // What the VM was in before has ended with its process.
-        this.closeAll(this.outages, line.vm, atMs);
-        this.closeAll(this.coordinators, line.vm, atMs);
+        this.closeAllSpans(this.outages, line.vm, atMs);
+        this.closeAllSpans(this.coordinators, line.vm, atMs);
     }
   }
 
   build(fromMs: number, toMs: number): DaySummary {
     const seconds = Math.floor((toMs - fromMs) / 1e3) + 1;
-    const requests = [...this.happened].map(([name, times]) => {
+    const requests = [...this.eventTimes].map(([name, times]) => {
       const counts = new Array<number>(seconds).fill(0);
       for (const atMs of times) counts[Math.floor((atMs - fromMs) / 1e3)] += 1;
       return {name, counts};
@@ -121,8 +126,8 @@
       fromMs,
       toMs,
       steps: [...this.steps.values()],
-      outages: this.outages.map(toSpan),
-      coordinators: this.coordinators.map(toSpan),
+      outages: this.outages.map(toVmSpan),
+      coordinators: this.coordinators.map(toVmSpan),
       loads: this.loads,
       requests,
     };
@@ -141,7 +146,7 @@
     });
   }
 
-  private changeStep(
+  private updateStep(
     batch: string,
     change: (step: StepSpan) => Partial<StepSpan>,
   ): void {
@@ -149,7 +154,7 @@
     if (step) this.steps.set(batch, {...step, ...change(step)});
   }
 
-  private takeOrder(line: TraceLine, atMs: number): void {
+  private addLoad(line: TraceLine, atMs: number): void {
     if (readText(line, 'outcome') !== 'accepted') return;
     this.loads.push({
       atMs,
@@ -159,13 +164,13 @@
     });
   }
 
-  private count(name: string, atMs: number): void {
-    const times = this.happened.get(name) ?? [];
+  private countEvent(name: string, atMs: number): void {
+    const times = this.eventTimes.get(name) ?? [];
     times.push(atMs);
-    this.happened.set(name, times);
+    this.eventTimes.set(name, times);
   }
 
-  private open(
+  private openSpan(
     spans: OpenSpan[],
     {vm}: TraceLine,
     key: string,
@@ -177,25 +182,32 @@
     if (!isOpen) spans.push({key, vm, fromMs});
   }
 
-  private close(
+  private closeSpan(
     spans: readonly OpenSpan[],
     {vm}: TraceLine,
     key: string,
     toMs: number,
   ): void {
     const span = spans.find(
-      each => each.vm === vm && each.key === key && each.toMs === undefined,
+      candidate =>
+        candidate.vm === vm &&
+        candidate.key === key &&
+        candidate.toMs === undefined,
     );
     if (span) span.toMs = toMs;
   }
 
-  private closeAll(spans: readonly OpenSpan[], vm: string, toMs: number): void {
+  private closeAllSpans(
+    spans: readonly OpenSpan[],
+    vm: string,
+    toMs: number,
+  ): void {
     for (const span of spans) {
       if (span.vm === vm) span.toMs ??= toMs;
     }
   }
 }
 
-function toSpan({vm, fromMs, toMs}: OpenSpan): VmSpan {
+function toVmSpan({vm, fromMs, toMs}: OpenSpan): VmSpan {
   return {vm, fromMs, ...(toMs === undefined ? {} : {toMs})};
 }
--- a/packages/core/src/trace/trace_path.ts
+++ b/packages/core/src/trace/trace_path.ts
@@ -16,7 +16,7 @@
   /** It tells what the VMs or endpoints of the path went through meanwhile. */
   | 'context';
 
-export interface TraceStep {
+export interface TraceEntry {
   /** Unix ms on the common time line. */
   readonly atMs: number;
   readonly role: TraceRole;
@@ -63,32 +63,32 @@
 export function tracePath(
   lines: readonly TraceLine[],
   id: string,
-): readonly TraceStep[] {
+): readonly TraceEntry[] {
   const subject = lines.filter(line => isAbout(line, id));
   if (subject.length === 0) return [];
   const offsets = alignClocks(lines);
-  const steps = subject.map(line => toStep(line, 'subject', offsets));
+  const entries = subject.map(line => toEntry(line, 'subject', offsets));
   const batches = new Set(
     subject.map(line => readText(line, 'batch')).filter(text => text !== id),
   );
   batches.delete('');
-  const known = new Set(subject);
+  const included = new Set(subject);
   for (const line of lines) {
-    if (known.has(line) || !isBatchLine(line, batches)) continue;
-    known.add(line);
-    steps.push(toStep(line, 'batch', offsets));
+    if (included.has(line) || !isBatchLine(line, batches)) continue;
+    included.add(line);
+    entries.push(toEntry(line, 'batch', offsets));
   }
-  const explained = [...steps];
-  for (const line of findConfigs(lines, explained, offsets)) {
-    known.add(line);
-    steps.push(toStep(line, 'context', offsets));
+  const pathEntries = [...entries];
+  for (const line of findConfigLines(lines, pathEntries, offsets)) {
+    included.add(line);
+    entries.push(toEntry(line, 'context', offsets));
   }
   for (const line of lines) {
-    if (known.has(line)) continue;
-    const step = toStep(line, 'context', offsets);
-    if (explains(step, explained)) steps.push(step);
+    if (included.has(line)) continue;
+    const entry = toEntry(line, 'context', offsets);
+    if (isContextOf(entry, pathEntries)) entries.push(entry);
   }
-  return sortSteps(steps, lines);
+  return sortEntries(entries, lines);
 }
 
 /** Whether the line names `id` as its request, item, batch or endpoint, or as what was asked. */
@@ -114,8 +114,8 @@
 }
 
 /** Whether the step tells what VMs or endpoints of `path` went through then. */
-function explains(step: TraceStep, path: readonly TraceStep[]): boolean {
-  const {line, atMs} = step;
+function isContextOf(entry: TraceEntry, path: readonly TraceEntry[]): boolean {
+  const {line, atMs} = entry;
   if (!CONTEXT_EVENTS.has(line.event)) return false;
   const isNear = path.some(other => Math.abs(other.atMs - atMs) <= CONTEXT_MS);
   if (!isNear) return false;
@@ -136,9 +136,9 @@
  * For the first step of the path: the configuration in force on its VM, and the
  * newest that any VM had by then, which tells whether this one was behind.
  */
-function findConfigs(
+function findConfigLines(
   lines: readonly TraceLine[],
-  path: readonly TraceStep[],
+  path: readonly TraceEntry[],
   offsets: ClockOffsets,
 ): readonly TraceLine[] {
   const first = path.reduce((a, b) => (b.atMs < a.atMs ? b : a));
@@ -159,15 +159,15 @@
 }
 
 /** Only items of batches go through the coordinator. */
-function hasItems(path: readonly TraceStep[]): boolean {
+function hasItems(path: readonly TraceEntry[]): boolean {
   return path.some(({line}) => line.event.startsWith('batch '));
 }
 
-function toStep(
+function toEntry(
   line: TraceLine,
   role: TraceRole,
   offsets: ClockOffsets,
-): TraceStep {
+): TraceEntry {
   return {line, role, atMs: alignTime(line, offsets)};
 }
 
@@ -175,27 +175,27 @@
  * By time; the lines of one VM in the order in which they were given, which is
  * the one in which it wrote them, even where its clock went back meanwhile.
  */
-function sortSteps(
-  steps: readonly TraceStep[],
+function sortEntries(
+  entries: readonly TraceEntry[],
   lines: readonly TraceLine[],
-): readonly TraceStep[] {
-  const places = new Map(lines.map((line, index) => [line, index]));
-  const written = [...steps].sort(
-    (a, b) => places.get(a.line)! - places.get(b.line)!,
+): readonly TraceEntry[] {
+  const positions = new Map(lines.map((line, index) => [line, index]));
+  const inWrittenOrder = [...entries].sort(
+    (a, b) => positions.get(a.line)! - positions.get(b.line)!,
   );
-  const latest = new Map<string, number>();
-  const monotonic = written.map(step => {
-    const {vm} = step.line;
-    const atMs = Math.max(step.atMs, latest.get(vm) ?? -Infinity);
-    latest.set(vm, atMs);
-    return {...step, atMs};
+  const latestByVm = new Map<string, number>();
+  const monotonic = inWrittenOrder.map(entry => {
+    const {vm} = entry.line;
+    const atMs = Math.max(entry.atMs, latestByVm.get(vm) ?? -Infinity);
+    latestByVm.set(vm, atMs);
+    return {...entry, atMs};
   });
   return monotonic.sort(
     (a, b) => a.atMs - b.atMs || rankEvent(a) - rankEvent(b),
   );
 }
 
-function rankEvent({line}: TraceStep): number {
+function rankEvent({line}: TraceEntry): number {
   const rank = EVENT_ORDER.indexOf(line.event);
   return rank < 0 ? EVENT_ORDER.length : rank;
 }
--- a/packages/daemon/src/audit/audit_task.ts
+++ b/packages/daemon/src/audit/audit_task.ts
@@ -6,7 +6,7 @@
 import {
   AuditChain,
   type AuditBlock,
-  type PlacedHead,
+  type LoggedHead,
 } from '@radishyoke/core/audit/audit_chain';
 import type {AuditEntry} from '@radishyoke/core/audit/audit_entry';
 import {nameWriter} from '@radishyoke/core/ledger/writer_table';
@@ -45,7 +45,7 @@
   private readonly chain: AuditChain;
   private readonly writer: LogWriter<AuditBlock, number>;
   private readonly waiting: AuditEntry[] = [];
-  private readonly foreignHeads = new Map<string, PlacedHead>();
+  private readonly foreignHeads = new Map<string, LoggedHead>();
   private blocksInFlight = 0;
   private gap: Gap | undefined;
   private anchoredAtMs = -Infinity;
@@ -147,14 +147,14 @@
     this.gap = undefined;
   }
 
-  private takeWitnessed(): readonly PlacedHead[] {
+  private takeWitnessed(): readonly LoggedHead[] {
     const heads = [...this.foreignHeads.values()].slice(0, MAX_WITNESSED);
     for (const head of heads) this.foreignHeads.delete(head.writer);
     return heads;
   }
 
   /** Tells the other VMs of this chain's head once in a while. */
-  private anchor({number, hash, offset}: PlacedHead): void {
+  private anchor({number, hash, offset}: LoggedHead): void {
     const nowMs = performance.now();
     if (nowMs - this.anchoredAtMs < ANCHOR_EVERY_MS && !this.stopped) return;
     if (number <= this.anchoredNumber) return;
--- a/packages/daemon/src/log/log_task.ts
+++ b/packages/daemon/src/log/log_task.ts
@@ -9,7 +9,7 @@
   type ConfigOutcome,
   type ConfigSnapshot,
   type ConfigTransfer,
-  type JudgedConfig,
+  type AppliedConfig,
 } from '@radishyoke/core/rules/config_history';
 import {
   type Currency,
@@ -370,7 +370,7 @@
     this.announceConfig({record, outcome});
   }
 
-  private announceConfig({record, outcome}: JudgedConfig): void {
+  private announceConfig({record, outcome}: AppliedConfig): void {
     if (outcome.kind === 'copy') return;
     this.configWriter.settle(record.value.stamp, outcome);
     this.source.emit({kind: 'config', record, outcome});
--- a/packages/daemon/src/settings/settings.ts
+++ b/packages/daemon/src/settings/settings.ts
@@ -10,7 +10,7 @@
   readSection,
   SectionSpec,
   SectionValues,
-} from '@radishyoke/core/rules/key_rule';
+} from '@radishyoke/core/rules/key_spec';
 import {
   DataCentreId,
   TeamId,
--- a/packages/daemon/src/settings/settings_schema.ts
+++ b/packages/daemon/src/settings/settings_schema.ts
@@ -12,7 +12,7 @@
   required,
   sizeType,
   withDefault,
-} from '@radishyoke/core/rules/key_rule';
+} from '@radishyoke/core/rules/key_spec';
 
 export const LOG_LEVELS = ['debug', 'info', 'warn', 'error'] as const;
 
