--- a/packages/core/src/__tests__/config_transfer.spec.ts
+++ b/packages/core/src/__tests__/config_transfer.spec.ts
@@ -15,12 +15,12 @@
 const RECORDS = 200;
 const VMS = 4;
 
-/** One event: a VM reads some of the log, or takes what another one exports. */
+/** An event: a VM reads from the log, or imports another VM's export. */
 const event = fc.record({
   vm: fc.nat(VMS - 1),
   from: fc.option(fc.nat(VMS - 1), {nil: undefined}),
   records: fc.nat(40),
-  /** A transfer that is sent now and arrives only at the next one. */
+  /** Whether the transfer is sent now but arrives only with the next one. */
   delayed: fc.boolean(),
 });
 
@@ -35,11 +35,11 @@
   return stream;
 }
 
-// A VM whose log connection is silent takes its configuration from others.
-// 1. It asks one that was paused and lags behind; an older answer, delayed on
-//    its way, arrives after a newer one.
-// 2. It goes back to rules that were replaced, or misses a version between two.
-test('transfers between VMs never turn one back and leave no gap', t => {
+// A VM whose log connection delivers nothing gets its configuration from other
+// VMs. The other VM may lag behind because it was paused, or an older answer may
+// arrive late, after a newer one. Guards against a return to rules that were
+// replaced, and against skipped versions.
+test('transfers between VMs never move one back and leave no gap', t => {
   const {records} = createStream();
   const reference = new ConfigHistory(() => undefined);
   const currentAt = records.map(record => {
--- a/packages/core/src/__tests__/naive_rule_matcher.ts
+++ b/packages/core/src/__tests__/naive_rule_matcher.ts
@@ -1,8 +1,11 @@
-/** The shortest right way to find a rule: try each condition of each in turn. */
+/** Reference implementation of rule matching: a linear scan of all rules. */
 
 import type {RuleFacts, RuleSet, RuleConditions} from '../rules/rule.js';
 
-/** Index of the first rule that matches, or -1. Paths must be canonical. */
+/**
+ * Returns the index of the first rule that matches, or -1. Paths must be
+ * canonical.
+ */
 export function findRuleNaively(ruleSet: RuleSet, facts: RuleFacts): number {
   return ruleSet.rules.findIndex(({when}) => matchesConditions(when, facts));
 }
--- a/packages/core/src/audit/__tests__/audit_export.spec.ts
+++ b/packages/core/src/audit/__tests__/audit_export.spec.ts
@@ -38,7 +38,10 @@
   return {...block, stamp: createStamp(vm, block.number)};
 }
 
-/** A stream in which each block names the heads before it, as anchors do. */
+/**
+ * Creates a stream in which each block contains the current heads of the other
+ * writers.
+ */
 function createRecords(choices: readonly number[]): AuditRecord[] {
   const chains = WRITERS.map(writer => new AuditChain(writer));
   const heads = new Map<string, LoggedHead>();
@@ -57,7 +60,7 @@
   return [header, ...records.map(r => exporter.add(r)), exporter.end()];
 }
 
-/** Offsets made to run on, as a forger would. */
+/** Makes the offsets consecutive again, as a forger would. */
 function renumber(records: readonly AuditRecord[]): AuditRecord[] {
   return records.map((record, offset) => ({...record, offset}));
 }
@@ -65,7 +68,7 @@
 const choices = fc.array(fc.nat(2), {minLength: BLOCKS, maxLength: BLOCKS});
 const SETTINGS = {seed: 11, numRuns: 100};
 
-test('an export as written has no faults, with copies too', t => {
+test('an unchanged export has no faults, even with a duplicate block', t => {
   fc.assert(
     fc.property(choices, fc.nat(BLOCKS - 1), (list, copied) => {
       const records = createRecords(list);
@@ -76,8 +79,8 @@
   );
 });
 
-// An auditor is handed a file in which one line was touched by hand.
-test('any single change of the lines is found', t => {
+// An auditor gets a file in which one line was removed, repeated, edited or moved.
+test('any single change of the lines is detected', t => {
   fc.assert(
     fc.property(
       choices,
@@ -119,11 +122,11 @@
 
 const FORGERIES: readonly Forgery[] = [
   {
-    name: 'drops a block that another one names',
+    name: 'a dropped block that another block references',
     forge: (records, at) => renumber(records.filter((_, i) => i !== at)),
   },
   {
-    name: 'changes a block and its hash',
+    name: 'a changed block with a matching hash',
     forge: (records, at) => {
       const forged = {
         ...records[at]!.value,
@@ -134,12 +137,12 @@
     },
   },
   {
-    name: 'moves a block to the front',
+    name: 'a block moved to the front',
     forge: (records, at) =>
       renumber([records[at]!, ...records.filter((_, i) => i !== at)]),
   },
   {
-    name: 'puts in a block of a writer that never was',
+    name: 'an inserted block of an invented writer',
     forge: (records, at) => {
       const value = addStamp(
         new AuditChain('x/i1').seal([createEntry('forged')], []),
@@ -153,9 +156,9 @@
   },
 ];
 
-// Somebody rewrites one block and makes offsets and trailer fit again.
+// A forger changes one block and then makes offsets and trailer consistent again.
 for (const {name, forge} of FORGERIES) {
-  test(`a forger is found who ${name}`, t => {
+  test(`a forgery is detected: ${name}`, t => {
     fc.assert(
       fc.property(
         choices,
@@ -172,8 +175,8 @@
   });
 }
 
-// Who rewrites every chain from some block on leaves no trace inside the export.
-test('a wholly rewritten end is found by a head kept elsewhere only', t => {
+// Rewriting every chain from some block on leaves no trace inside the export.
+test('rewritten ends of all chains are detected only with a head stored elsewhere', t => {
   const records = createRecords([0, 1, 2, 0, 1, 2]);
   const storedHeads = verifyExport(exportLines(records)).heads;
   const rewritten = createRecords([0, 1, 2, 0, 2, 1]);
@@ -181,8 +184,8 @@
   t.true(verifyExport(exportLines(rewritten), storedHeads).faults.length > 0);
 });
 
-// The log was down for long and the VM's buffer ran full.
-test('a gap and a chain without an end are told', t => {
+// The log was unavailable until the VM's buffer was full and entries were dropped.
+test('dropped entries and a chain without an end are reported', t => {
   const chain = new AuditChain('a/i1');
   const gap: AuditEntry = {kind: 'gap', fromMs: 1, toMs: 2, dropped: 7};
   const blocks = [
--- a/packages/core/src/audit/audit_chain.ts
+++ b/packages/core/src/audit/audit_chain.ts
@@ -1,48 +1,54 @@
-/** Chains of audit blocks, one a writer, each block bound to the one before. */
+/**
+ * Hash chains of audit blocks: one chain per writer, in which each block
+ * contains the previous block's hash.
+ */
 
 import type {Stamp} from '@radishyoke/shared/log_record';
 import type {AuditEntry} from './audit_entry.js';
 import {canonicalizeJson} from '../ledger/canonical_json.js';
 import {computeDigest} from '../ledger/digest.js';
 
-/** Where a writer's chain stands. */
+/** The last block of a writer's chain. */
 export interface ChainHead {
   /** `vm/incarnation`. */
   readonly writer: string;
-  /** Number of its last block; 0 for none. */
+  /** Number of the last block; 0 if there is none. */
   readonly number: number;
-  /** Hash of that block; empty for none. */
+  /** Hash of that block; empty if there is none. */
   readonly hash: string;
 }
 
-/** A head with the offset at which the log took its block. */
+/** A head with the log offset of its block. */
 export interface LoggedHead extends ChainHead {
   readonly offset: number;
 }
 
-/** Many entries in one record of the stream `audit`. */
+/** A record of the stream `audit`, which contains a batch of entries. */
 export interface AuditBlock {
   readonly kind: 'audit_block';
   readonly stamp: Stamp;
   readonly writer: string;
-  /** Counts from 1 in the writer's chain. */
+  /** Position in the writer's chain, from 1. */
   readonly number: number;
-  /** Hash of the writer's block before; empty for the first. */
+  /** Hash of the writer's previous block; empty for the first. */
   readonly previous: string;
   readonly entries: readonly AuditEntry[];
   /**
-   * Heads of other writers' chains that this writer had learned. They bind the
-   * chains to one another: whoever rewrites the end of one has to rewrite every
-   * later block that names it too.
+   * Heads of other writers' chains that this writer received. They link the
+   * chains: whoever rewrites the end of one chain must also rewrite every later
+   * block of other chains that contains its head.
    */
   readonly witnessed: readonly LoggedHead[];
   readonly hash: string;
 }
 
-/** A block without the stamp that the log's writer adds. */
+/**
+ * A block before it gets the stamp that is added when it is appended to the
+ * log.
+ */
 export type UnstampedBlock = Omit<AuditBlock, 'stamp'>;
 
-/** Hash over all of a block but its stamp and the hash itself. */
+/** Computes the hash of a block, over everything except its stamp and hash. */
 export function hashBlock(block: Partial<AuditBlock>): string {
   const body: Record<string, unknown> = {...block};
   delete body['hash'];
@@ -50,7 +56,7 @@
   return computeDigest(canonicalizeJson(body));
 }
 
-/** Chains the blocks of one writer. */
+/** Builds the chain of one writer. */
 export class AuditChain {
   private lastHead: ChainHead;
 
@@ -62,7 +68,7 @@
     return this.lastHead;
   }
 
-  /** Builds the next block. */
+  /** Returns the next block and advances the head. */
   seal(
     entries: readonly AuditEntry[],
     witnessed: readonly LoggedHead[],
--- a/packages/core/src/audit/audit_entry.ts
+++ b/packages/core/src/audit/audit_entry.ts
@@ -1,4 +1,4 @@
-/** What the audit keeps of a request, a rollout and a configuration. */
+/** The audit entries of requests, rollouts and configurations. */
 
 import type {ErrorKind} from '@radishyoke/shared/error_kind';
 import type {
@@ -11,13 +11,15 @@
 import type {TokenSpan} from '@radishyoke/shared/rollout';
 import type {FailureKind} from '../scheduling/failure.js';
 
-/** How an attempt ended, as far as the writer knows. */
+/** How an attempt ended, as far as the writer of the entry knows. */
 export type AuditAttemptEnd =
   | 'finished'
   | 'stopped'
-  /** Another attempt won; this one failed, was stopped or lost with its VM. */
+  /**
+   * Another attempt won; this one failed, was stopped, or was lost with its VM.
+   */
   | 'superseded'
-  /** It failed in a way that the writer does not know more of. */
+  /** The attempt failed for a reason that the writer does not know. */
   | 'failed'
   | FailureKind;
 
@@ -25,22 +27,31 @@
 export interface AuditAttempt {
   readonly attempt: number;
   readonly endpoint: EndpointId;
-  /** Unix ms at the VM, where it is known. */
+  /** Unix ms by the VM's clock; absent if unknown. */
   readonly startedAtMs?: number;
   readonly endedAtMs?: number;
   readonly end: AuditAttemptEnd;
-  /** Weight versions that made its output, in order; empty for plain services. */
+  /**
+   * Weight versions that produced the output, in order; empty for plain
+   * services.
+   */
   readonly spans: readonly TokenSpan[];
 }
 
-/** The rule in force for a piece of work, and what it caused. */
+/**
+ * Fields shared by requests and rollouts: the rule in force and the attempts
+ * made.
+ */
 interface AuditedWork {
-  /** Unix ms at the VM when the work ended. */
+  /** End of the work item, Unix ms by the VM's clock. */
   readonly atMs: number;
   readonly team: TeamId;
   readonly tenant: TenantId;
   readonly rule: string;
-  /** Version (offset) of the team's configuration. */
+  /**
+   * Version of the team's configuration, which is its offset in the stream
+   * `config`.
+   */
   readonly configVersion: number;
   readonly attempts: readonly AuditAttempt[];
 }
@@ -57,37 +68,40 @@
       readonly group: number;
       readonly sample: number;
       readonly cursor: number;
-      /** Fencing number of the owner that handed it over. */
+      /** Fencing number of the owner that delivered the rollout. */
       readonly fencing: number;
       readonly outcome: 'committed' | ErrorKind;
-      /** SHA-256 of the text, hex; empty for a shortfall. */
+      /** SHA-256 of the output text, hex; empty for a shortfall. */
       readonly digest: string;
     })
   | {
-      /** This VM put a version into force. */
+      /** The VM put a configuration version into force. */
       readonly kind: 'config';
       readonly atMs: number;
       readonly team: TeamId;
       readonly version: number;
       readonly basedOn: number;
       readonly author: string;
-      /** SHA-256 of the text, hex. */
+      /** SHA-256 of the configuration text, hex. */
       readonly digest: string;
     }
   | {
-      /** Entries were dropped because the log took none and the buffer was full. */
+      /**
+       * Entries were dropped because the log was unavailable and the buffer was
+       * full.
+       */
       readonly kind: 'gap';
       readonly fromMs: number;
       readonly toMs: number;
       readonly dropped: number;
     }
   | {
-      /** The last entry of a VM that shut down in order. */
+      /** The last entry of a VM that shut down in an orderly way. */
       readonly kind: 'closed';
       readonly atMs: number;
     };
 
-/** What an audit entry names; each kind of entry has some of these. */
+/** Fields by which an entry is found; each kind of entry has some of them. */
 export interface AuditSubjectFields {
   readonly kind?: string;
   readonly request?: string;
@@ -96,7 +110,10 @@
   readonly sample?: number;
 }
 
-/** Whether an entry tells of a request, a step or a rollout by this name. */
+/**
+ * Whether an entry is about the request, step or rollout that `subject`
+ * identifies.
+ */
 export function concernsSubject(
   fields: AuditSubjectFields,
   subject: string,
--- a/packages/core/src/audit/audit_export.ts
+++ b/packages/core/src/audit/audit_export.ts
@@ -1,7 +1,7 @@
 /**
- * The plain form in which the audit is kept past the log's retention, and its
- * check, which needs nothing but the export. One JSON value a line: a header,
- * each record of the stream in order, and a trailer.
+ * Exports the audit, so that it can be stored beyond the log's retention, and
+ * verifies an export without any other data. An export has one JSON value per
+ * line: a header, the records of the stream in order, and a trailer.
  */
 
 import type {LoggedRecord} from '@radishyoke/shared/log_record';
@@ -25,9 +25,9 @@
 interface ExportTrailer {
   readonly kind: 'audit_export_end';
   readonly records: number;
-  /** Last head of each writer. */
+  /** The final head of each writer's chain. */
   readonly heads: readonly ChainHead[];
-  /** Digest over the digests of all lines before. */
+  /** Chained digest of all preceding lines. */
   readonly digest: string;
 }
 
@@ -41,7 +41,7 @@
   private records = 0;
   private readonly heads = new Map<string, ChainHead>();
 
-  /** The first line; `from` is the offset of the first record to come. */
+  /** Returns the header line; `from` is the offset of the first record. */
   begin(from: number): string {
     const header: ExportHeader = {kind: 'audit_export', format: 1, from};
     return this.emit(header);
@@ -72,28 +72,34 @@
   }
 }
 
-/** What is wrong at one line of an export. */
+/** A fault found at one line of an export. */
 export interface AuditFault {
-  /** Counts from 1. */
+  /** Line number from 1. */
   readonly line: number;
   readonly problem: string;
 }
 
-/** What the check of an export came to. */
+/** Result of verifying an export. */
 export interface AuditReport {
-  /** Empty when nothing is wrong. */
+  /** Empty if the export is intact. */
   readonly faults: readonly AuditFault[];
   readonly blocks: number;
   readonly entries: number;
-  /** Last head of each writer, to be kept for the check of other exports. */
+  /**
+   * The final head of each writer, to be stored as an anchor for verifying
+   * other exports.
+   */
   readonly heads: readonly LoggedHead[];
-  /** Entries that the service itself says it dropped. */
+  /** Entries that the service itself reported as dropped. */
   readonly dropped: number;
-  /** Writers whose first block is not in the export and in no given head. */
+  /**
+   * Writers whose chain starts before the export and is not linked to a given
+   * anchor.
+   */
   readonly unanchored: readonly string[];
   /**
-   * Writers whose chain ends without an orderly shutdown: still running, or
-   * dead with up to one flush interval of entries unwritten.
+   * Writers whose chain ends without an orderly shutdown. They are still running
+   * or crashed with up to one flush interval of entries unwritten.
    */
   readonly unclosed: readonly string[];
 }
@@ -104,11 +110,11 @@
 }
 
 /**
- * Checks an export. Found offline and without any secret: a block that was
- * changed, dropped, moved or put in, also when the trailer was made to fit,
- * because blocks are bound to those before and to other writers' blocks. Not to
- * be found from an export alone: one whose every chain was rewritten from some
- * block on. For that, give heads that were kept elsewhere (`anchors`).
+ * Verifies an export offline and without any secret. Detects blocks that were
+ * changed, dropped, moved or inserted, even if the trailer was adjusted, because
+ * blocks are linked to their predecessors and to other writers' blocks. If every
+ * chain was rewritten from some block on, that shows only by comparison with
+ * heads that were stored elsewhere (`anchors`).
  */
 export function verifyExport(
   lines: Iterable<string>,
@@ -140,7 +146,7 @@
 
   verifyLine(text: string): void {
     this.line++;
-    if (this.ended) return this.report('a line after the end');
+    if (this.ended) return this.report('a line after the trailer');
     const value = parseLine(text);
     if (value === undefined) return this.report('not a JSON object');
     if (this.line === 1) this.verifyHeader(value as Partial<ExportHeader>);
@@ -151,7 +157,7 @@
   }
 
   finish(): AuditReport {
-    if (!this.ended) this.report('the end is missing');
+    if (!this.ended) this.report('the trailer is missing');
     this.checkWitnessed();
     this.checkAnchors();
     const states = [...this.writers.values()];
@@ -181,14 +187,14 @@
   private verifyTrailer(trailer: Partial<ExportTrailer>): void {
     this.ended = true;
     if (trailer.records !== this.records) {
-      this.report('the number of records is not the one written');
+      this.report('the number of records differs from the trailer');
     }
     if (trailer.digest !== this.digest) {
-      this.report('the lines are not the ones written');
+      this.report('the digest of the lines differs from the trailer');
     }
     const heads = [...this.writers.values()].map(state => state.head);
     if (!hasSameHeads(heads, trailer.heads ?? [])) {
-      this.report('the chains do not end where they ended');
+      this.report('the last blocks of the chains differ from the trailer');
     }
   }
 
@@ -199,7 +205,7 @@
     if (record.offset !== offset) this.report('offsets are not consecutive');
     if (block?.kind !== 'audit_block') return this.report('not an audit block');
     if (hashBlock(block) !== block.hash) {
-      return this.report('the block was changed: its hash does not fit');
+      return this.report('the block was changed: its hash does not match');
     }
     this.hashByOffset.set(offset, block.hash);
     this.verifyChain(block, offset);
@@ -210,8 +216,8 @@
     const blockName = `${writer}#${number}`;
     const earlierHash = this.hashByBlock.get(blockName);
     if (earlierHash !== undefined) {
-      // A copy, from an append whose answer was lost.
-      if (earlierHash !== hash) this.report('two blocks under one number');
+      // A repeated append after a lost acknowledgement writes the block twice.
+      if (earlierHash !== hash) this.report('two blocks with the same number');
       return;
     }
     this.hashByBlock.set(blockName, hash);
@@ -223,7 +229,7 @@
       this.report(`the chain of ${writer} is broken`);
     }
     if (this.writers.get(writer)?.closed) {
-      this.report(`${writer} wrote after its end`);
+      this.report(`${writer} wrote a block after its chain was closed`);
     }
     this.recordBlock(block, offset);
   }
@@ -243,7 +249,9 @@
     this.writers.set(writer, {head, closed});
   }
 
-  /** The head before the first block of a writer in this export. */
+  /**
+   * Returns the head that precedes the first block of a writer in this export.
+   */
   private findPreviousHead(block: AuditBlock): ChainHead {
     const {writer, number, previous} = block;
     if (number === 1) return {writer, number: 0, hash: ''};
@@ -262,16 +270,16 @@
   }
 
   private checkAnchors(): void {
-    for (const head of this.anchors) this.checkHead(head, 'a kept head');
+    for (const head of this.anchors) this.checkHead(head, 'a stored head');
   }
 
-  /** Compares a head known from elsewhere with what stands at its offset. */
+  /** Compares a head from another source with the block at its offset. */
   private checkHead(head: LoggedHead, source: string, line?: number): void {
     const isCovered = head.offset >= this.from && head.offset < this.nextOffset;
     if (!isCovered) return;
     if (this.hashByOffset.get(head.offset) === head.hash) return;
     const name = `block ${head.number} of ${head.writer}`;
-    this.report(`${name} is not where ${source} saw it`, line);
+    this.report(`${name} is not at the offset that ${source} gives`, line);
   }
 }
 
--- a/packages/core/src/audit/recorded_request.ts
+++ b/packages/core/src/audit/recorded_request.ts
@@ -1,30 +1,32 @@
 /**
- * Keeps what rules look at of recent requests, so that an operator sees what a
- * new rule set would have decided before publishing it.
+ * Stores the rule-relevant properties of recent requests, so that an operator can
+ * see what a new rule set would have decided before publishing it.
  */
 
 import type {TenantId} from '@radishyoke/shared/ids';
 import type {RuleFacts} from '../rules/rule.js';
 
-/** One request as the rules saw it. */
+/** The properties of one request that rules are matched against. */
 export interface RecordedRequest {
   readonly facts: RuleFacts;
   readonly atMs: number;
 }
 
-/** Most requests kept for one tenant; newer ones push out older ones. */
+/**
+ * Maximum number of requests stored per tenant; newer ones replace the oldest.
+ */
 export const MAX_REQUESTS_PER_TENANT = 256;
-/** Most tenants that requests are kept for. */
+/** Maximum number of tenants; requests of further tenants are not stored. */
 const MAX_TENANTS = 64;
 const MAX_PATH_CHARS = 512;
 const MAX_HEADER_CHARS = 256;
 const MAX_HEADERS = 24;
 
-// Headers that commonly carry credentials: a record of requests must not become
-// a second place to steal them from.
+// Headers whose names suggest credentials. They are not stored, so that recorded
+// requests do not leak them.
 const SECRET_HEADER = /auth|cookie|token|secret|key|session|password/;
 
-/** Requests by tenant, a bounded number of each. */
+/** Stores a bounded number of recent requests per tenant. */
 export class RequestRecorder {
   private readonly byTenant = new Map<TenantId, RecordedRequest[]>();
   private readonly recordedCounts = new Map<TenantId, number>();
@@ -41,7 +43,7 @@
     this.recordedCounts.set(facts.tenant, count + 1);
   }
 
-  /** Requests of `tenants`, in no order. */
+  /** Returns the stored requests of `tenants`, in no particular order. */
   list(tenants: ReadonlySet<TenantId>): readonly RecordedRequest[] {
     return [...this.byTenant]
       .filter(([tenant]) => tenants.has(tenant))
--- a/packages/core/src/metrics/__tests__/metrics.spec.ts
+++ b/packages/core/src/metrics/__tests__/metrics.spec.ts
@@ -17,11 +17,10 @@
   return registry;
 }
 
-// An operator reads a p99 that no request had.
-// 1. Ten VMs each report a p99; one of them has nearly all the requests.
-// 2. The page shows the mean of the ten.
-// Cause: percentiles were averaged in place of merging the histograms.
-test('percentiles of merged VMs are those of all values together', t => {
+// Guards against averaging percentiles instead of merging histograms: if ten VMs
+// each report a p99 and one of them has nearly all the requests, the mean of the
+// ten is a value that no request had.
+test('percentiles of merged VMs equal those of all values combined', t => {
   const values = fc.array(fc.integer({min: 0, max: 4_000_000}), {
     maxLength: 60,
   });
@@ -37,9 +36,9 @@
   t.notThrows(() => fc.assert(property, {seed: SEED, numRuns: 200}));
 });
 
-// Memory grows without load.
-// Cause: a caller sends a new tenant name with each request, and each gets series.
-test('tenants over the bound share one series', t => {
+// Guards against memory that grows without load, because a caller sends a new
+// tenant name with each request and each tenant gets its own series.
+test('tenants beyond the limit share one series', t => {
   const registry = new MetricRegistry();
   for (let i = 0; i < 10_000; i++) {
     registry.recordValue('duration', `tenant-${i}`, 'rollout', 1);
@@ -54,7 +53,7 @@
   t.true(registry.listCounters().length < 200);
 });
 
-test('a broken histogram from a peer is refused and changes nothing', t => {
+test('an undecodable histogram from another VM is rejected and changes nothing', t => {
   const registry = createRegistry([1]);
   const encoded = createRegistry([2]).encode();
   for (const text of [
@@ -69,7 +68,7 @@
   t.is(registry.summarize('duration').count, 1);
 });
 
-test('the text form has cumulative buckets and escapes labels', t => {
+test('the rendered text has cumulative buckets and escaped labels', t => {
   const registry = createRegistry([3, 40, 7200]);
   registry.addCount('decisions', 'app', 'interactive', 'say "hi"\n');
   registry.recordValue('duration', 'trainer-1', 'rollout', 1);
--- a/packages/core/src/metrics/metric_schema.ts
+++ b/packages/core/src/metrics/metric_schema.ts
@@ -1,9 +1,9 @@
-/** What is measured. The names are part of the interface to collectors. */
+/** Defines the metrics. Their names are part of the interface to collectors. */
 
 export interface HistogramSpec {
   readonly help: string;
   readonly unit: 'ms' | 'versions';
-  /** Upper bounds for the text form, in the unit. */
+  /** Upper bounds of the buckets in the text exposition, in `unit`. */
   readonly bounds: readonly number[];
 }
 
@@ -50,7 +50,7 @@
 
 export interface CounterSpec {
   readonly help: string;
-  /** Name of the label that tells counts apart; empty for none. */
+  /** Name of the label that separates the counts; empty if there is none. */
   readonly label: string;
 }
 
--- a/packages/core/src/metrics/metrics.ts
+++ b/packages/core/src/metrics/metrics.ts
@@ -1,7 +1,7 @@
 /**
  * Histograms and counters by tenant and class. The number of series is bounded
- * whatever callers send, and series of several VMs are merged as histograms:
- * percentiles are taken after the merge and never averaged.
+ * regardless of what callers send. Series of several VMs are merged as
+ * histograms; percentiles are computed after the merge and never averaged.
  */
 
 import {
@@ -14,7 +14,7 @@
 import {CounterName, HistogramName, HISTOGRAMS} from './metric_schema.js';
 import type {WorkClass} from '../scheduling/scheduler.js';
 
-/** What a series belongs to. */
+/** The tenant and class that a series belongs to. */
 export interface SeriesKey {
   readonly tenant: string;
   readonly workClass: WorkClass;
@@ -31,7 +31,7 @@
   readonly value: number;
 }
 
-/** All series as plain data, for other VMs and for files. */
+/** All series as plain data, to be sent to other VMs and stored in files. */
 export interface EncodedMetrics {
   readonly series: ReadonlyArray<
     SeriesKey & {
@@ -43,7 +43,7 @@
   readonly counters: readonly CounterSeries[];
 }
 
-/** Percentiles of one series, for people. */
+/** Summary statistics of a histogram. */
 export interface HistogramSummary {
   readonly count: number;
   readonly mean: number;
@@ -53,16 +53,19 @@
   readonly max: number;
 }
 
-/** Tenant and label under which everything over the bound is counted. */
+/**
+ * Tenant and label that collect everything beyond the limits on series and
+ * labels.
+ */
 export const OVERFLOW_SERIES = 'other';
-/** Most tenants with series of their own. */
+/** Maximum number of tenants with their own series. */
 export const MAX_TENANT_SERIES = 32;
-/** Most labels that one counter keeps apart for one tenant and class. */
+/** Maximum number of distinct labels per counter, tenant and class. */
 export const MAX_COUNTER_LABELS = 128;
 
-/** Largest value kept apart: an hour in ms. Greater ones count as this. */
+/** Largest recordable value: an hour in ms. Greater values are clamped to it. */
 const MAX_VALUE = 3_600_000;
-/** Two digits: a value is known to one per cent, a histogram takes 9 KiB. */
+/** Two digits give a precision of one per cent, at 9 KiB per histogram. */
 const SIGNIFICANT_DIGITS = 2;
 const BUCKET_BITS = 32;
 
@@ -71,13 +74,16 @@
   readonly values: Map<string, number>;
 }
 
-/** One instance a VM; also what several VMs' series are merged into. */
+/** Holds the series of one VM, or the merged series of several VMs. */
 export class MetricRegistry {
   private readonly tenants = new Set<string>();
   private readonly histograms = new Map<string, HistogramSeries>();
   private readonly counters = new Map<string, Counter>();
 
-  /** Adds `value` (at least 0, rounded) to a histogram. */
+  /**
+   * Adds `value` to a histogram, rounded and clamped to the range from 0 to
+   * `MAX_VALUE`.
+   */
   recordValue(
     name: HistogramName,
     tenant: string,
@@ -88,7 +94,7 @@
     this.getOrCreateHistogram(name, tenant, workClass).recordValue(bounded);
   }
 
-  /** Adds `by` to a counter. */
+  /** Adds `increment` to a counter. */
   addCount(
     name: CounterName,
     tenant: string,
@@ -119,7 +125,7 @@
     );
   }
 
-  /** Percentiles over all series of `name` that `accepts` picks. */
+  /** Merges the series of `name` that `accepts` selects and summarizes them. */
   summarize(
     name: HistogramName,
     accepts: (key: SeriesKey) => boolean = () => true,
@@ -150,7 +156,10 @@
     return {series, counters: this.listCounters()};
   }
 
-  /** Adds another VM's series to these. Changes nothing if any can't be read. */
+  /**
+   * Adds the series of another VM; fails without any change if one cannot be
+   * decoded.
+   */
   merge(encoded: EncodedMetrics): Result<void> {
     const decoded: HistogramSeries[] = [];
     for (const series of encoded.series) {
@@ -206,9 +215,9 @@
   }
 
   /**
-   * A caller that invents a tenant with each request would add a series with
-   * each; it shows as memory that grows without load. All beyond the bound
-   * share one series.
+   * Returns the tenant under which to count. All tenants beyond the limit share
+   * one, because a caller that sends a new tenant name with each request would
+   * otherwise add series, and memory would grow without load.
    */
   private limitTenant(tenant: string): string {
     if (this.tenants.has(tenant)) return tenant;
--- a/packages/core/src/metrics/metrics_text.ts
+++ b/packages/core/src/metrics/metrics_text.ts
@@ -1,4 +1,4 @@
-/** Renders metrics in the text exposition format that collectors scrape. */
+/** Renders metrics in the Prometheus text exposition format. */
 
 import {
   CounterName,
@@ -14,15 +14,15 @@
   SeriesKey,
 } from './metrics.js';
 
-/** Content type of the text. */
+/** Content type of the rendered text. */
 export const METRICS_CONTENT_TYPE = 'text/plain; version=0.0.4; charset=utf-8';
 
 const PREFIX = 'radishyoke_';
 const MS_PER_SECOND = 1000;
 
 /**
- * Renders the series that `accepts` picks. Histograms have cumulative buckets,
- * which a collector can add up over VMs; percentiles could not be.
+ * Renders the series that `accepts` selects. Histograms are rendered as
+ * cumulative buckets, which a collector can add up over VMs, unlike percentiles.
  */
 export function renderMetricsText(
   registry: MetricRegistry,
@@ -74,7 +74,7 @@
   return lines;
 }
 
-/** Values at or under each bound, in one pass. */
+/** Counts the values at or below each bound, in one pass over the histogram. */
 function countCumulatively(
   {histogram}: HistogramSeries,
   bounds: readonly number[],
--- a/packages/core/src/rules/__tests__/config_history.spec.ts
+++ b/packages/core/src/rules/__tests__/config_history.spec.ts
@@ -9,11 +9,10 @@
 
 const checkText = (text: string) => (text === 'bad' ? 'is bad' : undefined);
 
-// An operator's change vanishes.
-// 1. Two operators read version 0 and publish at once, each from version 0.
-// 2. Both are told that all went well; the later one undid the other's change.
-// Cause: a publication that does not say what it was based on.
-test('of two publications from one version the first in the log wins', t => {
+// Guards against a lost update: two operators read version 0 and publish at the
+// same time. If a publication did not name the version it is based on, both
+// would succeed and the later one would undo the other's change.
+test('of two publications based on the same version the first in the log wins', t => {
   const stream = new RecordFixture<ConfigRecord>();
   const history = new ConfigHistory(checkText);
   const publish = (vm: string, basedOn: number, text: string) =>
--- a/packages/core/src/rules/__tests__/rule_matcher.spec.ts
+++ b/packages/core/src/rules/__tests__/rule_matcher.spec.ts
@@ -77,7 +77,7 @@
     headers: Object.assign(Object.create(null), x && {'x-kind': x}),
   })) as fc.Arbitrary<RuleFacts>;
 
-test('the compiled rules decide as a scan of all rules does', t => {
+test('the compiled rules decide like a linear scan of all rules', t => {
   const property = fc.property(
     fc.array(whenArbitrary, {maxLength: 80}),
     fc.array(factsArbitrary, {minLength: 20, maxLength: 20}),
@@ -99,11 +99,10 @@
   t.notThrows(() => fc.assert(property, {seed: SEED, numRuns: 400}));
 });
 
-// A refused path is reached by another spelling.
-// 1. A rule refuses `/orders/cancel`; a later one lets everything through.
-// 2. A caller asks for `/x/../orders//%63ancel`; the service resolves it.
-// Cause: rules compare the spelling and not what the endpoint will make of it.
-test('no spelling of a path gets round a rule', t => {
+// Guards against bypassing a rule: one rule refuses `/orders/cancel` and a later
+// one allows everything. A caller sends `/x/../orders//%63ancel`, which the
+// endpoint resolves to the refused path, so rules must compare resolved paths.
+test('no spelling of a path bypasses a rule', t => {
   const compiled = compileRules(
     createRuleSet([
       {pathPrefix: ['/orders/cancel'], headers: {}},
--- a/packages/core/src/rules/__tests__/rule_text.spec.ts
+++ b/packages/core/src/rules/__tests__/rule_text.spec.ts
@@ -15,7 +15,7 @@
 then.refuse = refused_by_rule ; the rest
 `;
 
-test('reads rules in order of appearance, names that look like numbers too', t => {
+test('rules keep the order of the text, even if their names are numbers', t => {
   const parsed = parseRuleText(VALID, 'rules.ini');
   if (!parsed.ok) return t.fail(parsed.error.map(formatProblem).join('\n'));
   t.is(String(parsed.value.team), 'kodkutu');
@@ -40,7 +40,7 @@
 
 interface Mistake {
   readonly name: string;
-  /** Replaces `from` in the valid text. */
+  /** Text in the valid configuration that `to` replaces. */
   readonly from: string;
   readonly to: string;
   readonly problem: string;
@@ -117,7 +117,7 @@
     problem: 'rules.ini:11: [rule.2] then.refuse: expected one of bad_request',
   },
   {
-    name: 'refusal beside a group',
+    name: 'refusal with a group',
     from: 'then.refuse = refused_by_rule',
     to: 'then.refuse = no_rule\nthen.group = x',
     problem: 'rules.ini:12: [rule.2] then.group: expected no other then key',
@@ -149,7 +149,7 @@
 ];
 
 for (const {name, from, to, problem} of mistakes) {
-  test(`a mistake is named: ${name}`, t => {
+  test(`a mistake is reported with its location: ${name}`, t => {
     const parsed = parseRuleText(VALID.replace(from, to), 'rules.ini');
     const lines = parsed.ok ? ['valid'] : parsed.error.map(formatProblem);
     t.true(
--- a/packages/core/src/rules/config_catch_up.ts
+++ b/packages/core/src/rules/config_catch_up.ts
@@ -1,7 +1,8 @@
 /**
- * Decides from whom a VM whose own log connection brings nothing takes the
- * config records it lacks. It asks one VM at a time, so that records do not
- * come many times over, and turns to another when no answer comes.
+ * Chooses the VM from which this VM requests missing config records while its
+ * own log connection delivers none. Only one VM is asked at a time, so that
+ * records are not transferred repeatedly; if it does not answer, another one is
+ * asked.
  */
 
 import type {VmId} from '@radishyoke/shared/ids';
@@ -13,17 +14,20 @@
   private requestedAtMs = -Infinity;
   private lastSource: VmId | undefined;
 
-  /** Offset of the first record that this VM lacks. */
+  /** Returns the offset of the first record that this VM is missing. */
   ownNext(): number {
     return this.next;
   }
 
-  /** Greatest offset that any VM told of, own included. */
+  /** Returns the highest such offset reported by any VM, including this one. */
   highestSeenNext(): number {
     return this.highestSeen;
   }
 
-  /** This VM folded records up to `next`; says whether that is news. */
+  /**
+   * Records that this VM applied all records before `next`; returns whether
+   * that is progress.
+   */
   advance(next: number): boolean {
     if (next <= this.next) return false;
     this.next = next;
@@ -32,14 +36,17 @@
     return true;
   }
 
-  /** A VM told of `next`; says whether that is the greatest so far. */
+  /**
+   * Records the offset that another VM reported; returns whether it is the
+   * highest so far.
+   */
   recordPeerNext(next: number): boolean {
     if (next <= this.highestSeen) return false;
     this.highestSeen = next;
     return true;
   }
 
-  /** The VM to ask now, out of those that are ahead. */
+  /** Returns the VM to ask now, chosen from `ahead`, or undefined to wait. */
   chooseSource(ahead: readonly VmId[], nowMs: number): VmId | undefined {
     if (this.highestSeen <= this.next || ahead.length === 0) return undefined;
     if (nowMs - this.requestedAtMs < MEMBERSHIP_TIMING.configRetryMs) {
--- a/packages/core/src/rules/config_history.ts
+++ b/packages/core/src/rules/config_history.ts
@@ -1,7 +1,8 @@
 /**
- * Folds the stream `config` to each team's chain of versions. The log's order
- * decides between operators who publish at once, and every reader sees the same
- * winner; an accepted version is never taken back, only followed by another.
+ * Folds the stream `config` into each team's history of versions. When operators
+ * publish concurrently, the order of the log decides, so that every reader
+ * accepts the same version. An accepted version is never revoked, only replaced
+ * by a later one.
  */
 
 import type {TeamId} from '@radishyoke/shared/ids';
@@ -18,26 +19,32 @@
   WriterTable,
 } from '../ledger/writer_table.js';
 
-/** Says what is wrong with a rule set that `team` publishes; undefined if nothing is. */
+/**
+ * Returns what is wrong with a rule set that `team` publishes, or undefined if
+ * it is valid.
+ */
 export type CheckConfig = (text: string, team: TeamId) => string | undefined;
 
 /** An accepted publication. */
 export interface ConfigVersion {
   readonly team: TeamId;
-  /** Offset of the record. */
+  /** Offset of the record in the stream. */
   readonly version: number;
   readonly basedOn: number;
   readonly author: string;
   readonly text: string;
-  /** Log time at which it was taken. */
+  /** Time of the record in the log, Unix ms. */
   readonly publishedAtMs: number;
 }
 
-/** What became of one publication. */
+/** Outcome of one publication. */
 export type ConfigOutcome =
   | {readonly kind: 'accepted'; readonly version: number}
   | {
-      /** Another publication was based on the same version and came first. */
+      /**
+       * The publication is not based on the version in force, because another
+       * came first.
+       */
       readonly kind: 'lost_race';
       readonly basedOn: number;
       /** The version now in force; -1 for none. */
@@ -45,10 +52,10 @@
       readonly author?: string;
     }
   | {readonly kind: 'invalid'; readonly problem: string}
-  /** The same record was appended before; the first copy's outcome counts. */
+  /** A duplicate; the outcome of the earlier record counts. */
   | {readonly kind: 'copy'};
 
-/** The whole history as plain data. */
+/** The complete history as plain data. */
 export interface ConfigSnapshot {
   readonly next: number;
   readonly clock: LogClockSnapshot;
@@ -56,15 +63,16 @@
   readonly teams: ReadonlyArray<readonly ConfigVersion[]>;
 }
 
-/** A record with what became of it. */
+/** An applied record and its outcome. */
 export interface AppliedConfig {
   readonly record: LoggedRecord<ConfigRecord>;
   readonly outcome: ConfigOutcome;
 }
 
 /**
- * What one VM gives another whose own log connection brings nothing: the records
- * from the wanted offset on, or, when they are no longer at hand, the whole.
+ * What a VM sends to another one whose log connection delivers nothing: the
+ * records from the requested offset on, or a snapshot if some of those are no
+ * longer cached.
  */
 export type ConfigTransfer =
   | {
@@ -73,21 +81,30 @@
     }
   | {readonly kind: 'snapshot'; readonly snapshot: ConfigSnapshot};
 
-/** Version of a team without any. */
+/** Stands for the version of a team that has none. */
 export const NO_VERSION = -1;
-/** Versions kept of each team; older ones are in the audit export. */
+/**
+ * Maximum number of versions retained per team; older ones are in the audit
+ * export.
+ */
 const MAX_VERSIONS_PER_TEAM = 10;
+/** How long a writer is tracked after its last record, to detect duplicates. */
 const WRITER_RETENTION_MS = 3_600_000;
-/** Records kept to be given to other VMs. */
+/** Maximum number of records cached for transfers to other VMs. */
 const MAX_RECENT_RECORDS = 64;
-/** Outcomes kept to answer operators who ask what became of a publication. */
+/**
+ * Maximum number of outcomes cached for operators who query them after
+ * publishing.
+ */
 const MAX_OUTCOMES = 1000;
 
 function buildStampKey(stamp: Stamp): string {
   return `${nameWriter(stamp)}/${stamp.seq}`;
 }
 
-/** Each team's configuration, as the records up to `next` make it. */
+/**
+ * Each team's configuration after all records before `next` have been applied.
+ */
 export class ConfigHistory {
   private readonly teams = new Map<TeamId, ConfigVersion[]>();
   private readonly outcomes = new Map<string, ConfigOutcome>();
@@ -108,22 +125,22 @@
     return this.nextOffset;
   }
 
-  /** Adjusted log time at the last record. */
+  /** Adjusted log time at the last applied record. */
   get nowMs(): number {
     return this.clock.nowMs;
   }
 
-  /** Highest sequence number seen of a writer. */
+  /** Returns the highest sequence number seen from a writer. */
   highestSeqOf(writer: string): number {
     return this.writers.highestOf(writer);
   }
 
-  /** The version in force for a team. */
+  /** Returns the version in force for a team. */
   current(team: TeamId): ConfigVersion | undefined {
     return this.teams.get(team)?.at(-1);
   }
 
-  /** Accepted versions of a team, oldest first. */
+  /** Returns the retained versions of a team, oldest first. */
   history(team: TeamId): readonly ConfigVersion[] {
     return this.teams.get(team) ?? [];
   }
@@ -132,12 +149,14 @@
     return [...this.teams.keys()];
   }
 
-  /** What became of the publication with this stamp, if it was read. */
+  /**
+   * Returns the outcome of the publication with this stamp, if it is cached.
+   */
   outcomeOf(stamp: Stamp): ConfigOutcome | undefined {
     return this.outcomes.get(buildStampKey(stamp));
   }
 
-  /** Applies the next record and tells what became of it. */
+  /** Applies the next record and returns its outcome. */
   apply(record: LoggedRecord<ConfigRecord>): ConfigOutcome {
     this.nextOffset = record.offset + 1;
     this.addRecent(record);
@@ -150,7 +169,7 @@
     return outcome;
   }
 
-  /** What a VM needs that lacks the records from `offset` on. */
+  /** Returns what a VM that is missing the records from `offset` on needs. */
   exportRecords(offset: number): ConfigTransfer {
     const first = this.recent[0]?.offset ?? this.nextOffset;
     if (offset < first) {
@@ -161,9 +180,10 @@
   }
 
   /**
-   * Takes what another VM exported and returns what it applied. What this VM
-   * knows already is left out, and a gap is refused: a VM that was paused for
-   * long can send nothing that turns this one back.
+   * Applies what another VM exported and returns the applied records. Records
+   * that this VM already has, and records after a gap, are ignored, so that an
+   * outdated transfer cannot move this VM back to an earlier version. A snapshot
+   * replaces the state if it is newer, and yields no records.
    */
   importRecords(transfer: ConfigTransfer): readonly AppliedConfig[] {
     if (transfer.kind === 'snapshot') {
@@ -203,8 +223,8 @@
 
   private addRecent(record: LoggedRecord<ConfigRecord>): void {
     if (record.value.kind === 'checkpoint_part') {
-      // A checkpoint's text would be kept and sent many times over; who lacks
-      // records before it gets the snapshot.
+      // Checkpoint texts are not cached, as they would be sent repeatedly. A VM
+      // that is missing earlier records gets the snapshot instead.
       this.recent.length = 0;
       return;
     }
@@ -229,9 +249,9 @@
   ): ConfigOutcome {
     const current = this.current(value.team);
     const version = current?.version ?? NO_VERSION;
-    // Two operators publish at once, each from the same version: the second
-    // would undo the first unseen. It names what it was based on, and the
-    // log's order makes it the loser on every VM.
+    // If two operators publish concurrently from the same version, the second
+    // publication would silently undo the first. Since each names the version it
+    // is based on, every VM rejects the one that is later in the log.
     if (value.basedOn !== version) {
       return {
         kind: 'lost_race',
--- a/packages/core/src/rules/config_problem.ts
+++ b/packages/core/src/rules/config_problem.ts
@@ -1,19 +1,24 @@
-/** What is wrong with a settings or rules file, where, and what was expected. */
+/**
+ * Mistakes in settings and rules files, with their location and the expected
+ * value.
+ */
 
 /** One mistake in an INI file. */
 export interface ConfigProblem {
   readonly file: string;
-  /** Counts from 1; 0 where something is missing and has no line. */
+  /**
+   * Line number from 1; 0 if something is missing and therefore has no line.
+   */
   readonly line: number;
-  /** Empty outside any section. */
+  /** Empty if the mistake is outside any section. */
   readonly section: string;
-  /** Empty when the section as a whole is wrong. */
+  /** Empty if the mistake concerns the complete section. */
   readonly key: string;
   readonly expected: string;
   readonly found: string;
 }
 
-/** Renders a problem as one line for a terminal or a log. */
+/** Formats a problem as one line for a terminal or a log. */
 export function formatProblem(problem: ConfigProblem): string {
   const {file, line, section, key, expected, found} = problem;
   const location = line > 0 ? `${file}:${line}` : file;
--- a/packages/core/src/rules/ini_text.ts
+++ b/packages/core/src/rules/ini_text.ts
@@ -1,8 +1,8 @@
 /**
- * Splits INI text into sections and keys in order of appearance. Values are
- * decoded by the `ini` library, a line at a time: given a whole file it merges
- * duplicates silently, splits section names at dots and sorts numeric names
- * first, any of which would change what an operator wrote.
+ * Splits INI text into sections and keys, in the order of the text. Only single
+ * values are passed to the `ini` library: given a complete file, it silently
+ * merges duplicates, splits section names at dots and sorts numeric names first,
+ * each of which would change the meaning of the configuration.
  */
 
 import {parse} from 'ini';
@@ -21,7 +21,7 @@
   readonly entries: readonly IniEntry[];
 }
 
-/** Longest text that is looked at; a guard against feeding in a wrong file. */
+/** Longest accepted text; guards against reading a wrong file. */
 export const MAX_INI_BYTES = 1_048_576;
 
 const SECTION_LINE = /^\[([^\]]+)\]\s*(?:[;#].*)?$/;
@@ -33,7 +33,7 @@
   readonly entries: IniEntry[];
 }
 
-/** Reads `text`; `file` names it in problems. */
+/** Parses `text`; `file` is the name that problems are reported under. */
 export function readIni(
   text: string,
   file: string,
@@ -116,8 +116,8 @@
   const equals = text.indexOf('=');
   const key = text.slice(0, Math.max(0, equals)).trim();
   if (key === '' || key.endsWith('[]')) return undefined;
-  // The library takes a key with dots and the value `null` for a section within
-  // a section and answers with an object. It is given the value alone.
+  // The library parses a key with dots whose value is `null` as a nested section
+  // and returns an object, so the value is parsed under a fixed key.
   const {value} = parse(`value = ${text.slice(equals + 1)}`);
   return {key, value: String(value), line};
 }
--- a/packages/core/src/rules/key_spec.ts
+++ b/packages/core/src/rules/key_spec.ts
@@ -1,29 +1,33 @@
 /**
- * What an INI key may hold. The same table reads a file, words its error
- * messages and is compared with the page that documents it.
+ * Specifications of INI keys: type, default and description. The same tables
+ * parse a file, provide the error messages and are checked against the
+ * documentation.
  */
 
 import {z} from 'zod';
 import type {ConfigProblem} from './config_problem.js';
 import type {IniSection} from './ini_text.js';
 
-/** The text of one value and what it is read as. */
+/** Parses the text of a value into `T` and describes the accepted text. */
 export interface ValueType<T> {
   readonly schema: z.ZodType<T, string>;
-  /** Completes "expected …"; holds unit and range. */
+  /** Completes the message "expected …"; includes unit and range. */
   readonly expected: string;
   /** Unit for the documentation; `-` for none. */
   readonly unit: string;
   readonly range: string;
 }
 
-/** One key of a section. */
+/** Specification of one key of a section. */
 export interface KeySpec<T> {
   readonly type: ValueType<T>;
   readonly description: string;
-  /** Text taken when the key is absent; without one the key is required. */
+  /**
+   * Text used when the key is absent. Without it and `optional`, the key is
+   * required.
+   */
   readonly defaultText?: string;
-  /** Absent is a value of its own. */
+  /** Whether an absent key is read as undefined. */
   readonly optional?: boolean;
 }
 
@@ -37,7 +41,7 @@
 const MAX_PORT = 65_535;
 const SIZE_UNITS_BYTES = {B: 1, KiB: 1024, MiB: 1_048_576} as const;
 
-/** A key that must be there. */
+/** A key that must be present. */
 export function required<T>(
   type: ValueType<T>,
   description: string,
@@ -45,7 +49,7 @@
   return {type, description: description};
 }
 
-/** A key with a default, written as it would be in the file. */
+/** A key with a default, given as the text that a file would contain. */
 export function withDefault<T>(
   type: ValueType<T>,
   defaultText: string,
@@ -54,7 +58,7 @@
   return {type, description: description, defaultText: defaultText};
 }
 
-/** A key whose absence has a meaning of its own. */
+/** A key that is read as undefined when it is absent. */
 export function optional<T>(
   type: ValueType<T>,
   description: string,
@@ -88,7 +92,7 @@
   );
 }
 
-/** A duration with a unit, read as milliseconds. */
+/** A duration with a unit, parsed to milliseconds. */
 export function durationType(min: string, max: string): ValueType<number> {
   const read = (text: string) => parseWithUnit(text, DURATION_UNITS_MS);
   return createType(
@@ -99,7 +103,7 @@
   );
 }
 
-/** A size with a unit, read as bytes. */
+/** A size with a unit, parsed to bytes. */
 export function sizeType(min: string, max: string): ValueType<number> {
   const read = (text: string) => parseWithUnit(text, SIZE_UNITS_BYTES);
   return createType(
@@ -121,7 +125,7 @@
   );
 }
 
-/** A switch whose words are `on` and `off` or the like. */
+/** A boolean written as one of two words, such as `on` and `off`. */
 export function switchType(yes: string, no: string): ValueType<boolean> {
   return createType(
     text => (text === yes ? true : text === no ? false : undefined),
@@ -131,7 +135,7 @@
   );
 }
 
-/** A name that is safe in logs, metrics and paths. */
+/** A name that needs no escaping in logs, metrics and paths. */
 export function nameType(): ValueType<string> {
   return patternType(
     /^[A-Za-z0-9][A-Za-z0-9._-]{0,99}$/,
@@ -153,7 +157,7 @@
   );
 }
 
-/** An IP number with a port. Names are not resolved. */
+/** An IP address with a port; host names are rejected. */
 export function addressType(): ValueType<string> {
   return createType(
     text => (isAddress(text) ? text : undefined),
@@ -163,7 +167,7 @@
   );
 }
 
-/** Several values with commas between them, none twice. */
+/** A comma-separated list without duplicates. */
 export function listType<T>(
   item: ValueType<T>,
   max: number,
@@ -218,7 +222,9 @@
   return host.safeParse(match[1] ?? match[2]).success;
 }
 
-/** Reads a section by its table; adds what is wrong to `problems`. */
+/**
+ * Parses a section according to `spec` and appends any mistakes to `problems`.
+ */
 export function readSection<S extends SectionSpec>(
   section: IniSection,
   spec: S,
--- a/packages/core/src/rules/rule.ts
+++ b/packages/core/src/rules/rule.ts
@@ -1,4 +1,7 @@
-/** Operators' rules: ordered when-then rules of which the first match decides. */
+/**
+ * Operators' rules: an ordered list of conditions and actions; the first match
+ * decides.
+ */
 
 import type {ErrorKind} from '@radishyoke/shared/error_kind';
 import type {
@@ -9,61 +12,66 @@
 } from '@radishyoke/shared/ids';
 import type {WorkClass} from '../scheduling/scheduler.js';
 
-/** What is known of a request when its rule is looked for. */
+/** The properties of a request that rules are matched against. */
 export interface RuleFacts {
   readonly tenant: TenantId;
-  /** `rollout` for steps; absent where the caller stated none. */
+  /** `rollout` for steps; absent when the caller did not specify one. */
   readonly workClass?: WorkClass;
   readonly model?: string;
   /** Upper case. */
   readonly method: string;
-  /** As received; a query string and dot segments are ignored. */
+  /** As received; matching drops the query string and resolves dot segments. */
   readonly path: string;
-  /** Names in lower case, as Node.js gives them. */
+  /** By lower-case name, as in Node.js. */
   readonly headers: Readonly<
     Record<string, string | readonly string[] | undefined>
   >;
-  /** Of the VM that took the request. */
+  /** Data centre of the VM that received the request. */
   readonly dataCentre: DataCentreId;
 }
 
-/** Conditions of one rule; all must hold. An absent one always holds. */
+/** Conditions of one rule; all must hold. An absent condition always holds. */
 export interface RuleConditions {
   readonly tenant?: readonly string[];
   readonly workClass?: readonly WorkClass[];
   readonly model?: readonly string[];
   readonly method?: readonly string[];
   readonly dataCentre?: readonly string[];
-  /** Whole path segments: `/notes` covers `/notes/7` but not `/notes-old`. */
+  /**
+   * Matches complete segments: `/notes` covers `/notes/7` but not `/notes-old`.
+   */
   readonly pathPrefix?: readonly string[];
-  /** By lower-case header name; `*` holds for any value. */
+  /** Accepted values by lower-case header name; `*` accepts any value. */
   readonly headers: Readonly<Record<string, readonly string[]>>;
 }
 
-/** What happens to a request that a rule lets through. */
+/** Routes the request to a group of endpoints. */
 export interface RouteAction {
   readonly kind: 'route';
   readonly group: string;
-  /** Overrides the class of the request. */
+  /** Overrides the class that the request specifies. */
   readonly workClass?: WorkClass;
-  /** Most attempts, hedges included. */
+  /** Maximum number of attempts, including hedged ones. */
   readonly maxAttempts: number;
   readonly timeoutMs: number;
-  /** Upper bound on a step's own staleness bound, in versions. */
+  /**
+   * Upper limit on the staleness bound that a step asks for, in weight
+   * versions.
+   */
   readonly maxStaleness?: number;
-  /** Higher goes first within tenant and class. */
+  /** Higher values are scheduled first within a tenant and class. */
   readonly priority: number;
-  /** Most works of a tenant that wait on one VM. */
+  /** Maximum number of a tenant's work items that wait on one VM. */
   readonly maxQueue: number;
-  /** Most works of a tenant that run at once from one VM. */
+  /** Maximum number of a tenant's work items in flight from one VM. */
   readonly maxInFlight?: number;
-  /** Whether a late attempt may be run a second time beside the first. */
+  /** Whether a slow attempt may be hedged: run a second time in parallel. */
   readonly hedge: boolean;
-  /** Overrides what the method says. */
+  /** Overrides whether the HTTP method counts as idempotent. */
   readonly idempotent?: boolean;
 }
 
-/** The request is refused before anything is sent. */
+/** Refuses the request before anything is sent to an endpoint. */
 export interface RefuseAction {
   readonly kind: 'refuse';
   readonly error: ErrorKind;
@@ -77,24 +85,27 @@
   readonly then: RuleAction;
 }
 
-/** A group of endpoints by id; other groups come from the VM list's labels. */
+/**
+ * A group with an explicit list of endpoints; other groups come from labels in
+ * the VM list.
+ */
 export interface RuleGroup {
   readonly name: string;
   readonly endpoints: readonly EndpointId[];
 }
 
-/** The whole configuration of one team. */
+/** The complete configuration of one team. */
 export interface RuleSet {
   readonly team: TeamId;
   readonly groups: readonly RuleGroup[];
-  /** In order of appearance. */
+  /** In the order of the configuration text. */
   readonly rules: readonly Rule[];
 }
 
-/** The rule that decides a request. */
+/** The first rule that matches a request, with its action. */
 export interface RuleDecision {
   readonly rule: string;
-  /** Position in the rule set, from 0. */
+  /** Zero-based position in the rule set. */
   readonly index: number;
   readonly then: RuleAction;
 }
--- a/packages/core/src/rules/rule_comparison.ts
+++ b/packages/core/src/rules/rule_comparison.ts
@@ -1,16 +1,16 @@
-/** What another rule set would have decided for recorded requests. */
+/** Compares the decisions of two rule sets for recorded requests. */
 
 import type {RecordedRequest} from '../audit/recorded_request.js';
 import type {RuleDecision, RuleFacts, RuleSet} from './rule.js';
 import {compileRules, resolveRule} from './rule_matcher.js';
 
-/** Requests that another rule would decide, or the same with another outcome. */
+/** Requests for which the deciding rule or its action would change. */
 export interface ChangedDecision {
   readonly tenant: string;
   readonly method: string;
-  /** Path of one of the requests. */
+  /** Path of one of the requests, as an example. */
   readonly path: string;
-  /** Rule in force now; empty for none. */
+  /** Name of the rule in force now; empty if no rule matches. */
   readonly before: string;
   readonly after: string;
   readonly requests: number;
@@ -19,11 +19,14 @@
 export interface RuleComparison {
   readonly requests: number;
   readonly unchanged: number;
-  /** Most requests first. */
+  /** Sorted by number of requests, descending. */
   readonly changed: readonly ChangedDecision[];
 }
 
-/** Decides each request by both rule sets; without one no rule matches. */
+/**
+ * Resolves each request with both rule sets; if `before` is undefined, no rule
+ * matches.
+ */
 export function compareRuleSets(
   before: RuleSet | undefined,
   after: RuleSet,
--- a/packages/core/src/rules/rule_explanation.ts
+++ b/packages/core/src/rules/rule_explanation.ts
@@ -1,15 +1,17 @@
-/** Says why a rule decided a request and why the earlier ones did not. */
+/**
+ * Explains which rule decides a request and why the earlier rules do not match.
+ */
 
 import type {Rule, RuleDecision, RuleFacts, RuleSet} from './rule.js';
 import {readHeader} from './rule_matcher.js';
 import {canonicalizePath} from './rule_path.js';
 
-/** A condition that does not hold. */
+/** A condition that does not hold for the request. */
 export interface FailedCondition {
-  /** As in the configuration, for example `when.tenant`. */
+  /** The configuration key, for example `when.tenant`. */
   readonly key: string;
   readonly expected: readonly string[];
-  /** Undefined where the request has nothing to compare. */
+  /** The value in the request; undefined if it has none. */
   readonly found: string | undefined;
 }
 
@@ -21,11 +23,11 @@
 
 export interface RuleExplanation {
   readonly decision: RuleDecision | undefined;
-  /** The rules before the one that decides, or all when none does. */
+  /** The rules before the deciding one, or all rules if none matches. */
   readonly skipped: readonly SkippedRule[];
 }
 
-/** Goes through the rules in order, up to the one that matches. */
+/** Evaluates the rules in order, up to the first that matches. */
 export function explainRules(
   ruleSet: RuleSet,
   facts: RuleFacts,
--- a/packages/core/src/rules/rule_matcher.ts
+++ b/packages/core/src/rules/rule_matcher.ts
@@ -1,8 +1,9 @@
 /**
- * Finds the first rule that matches a request. Each condition is indexed by its
- * values to a bit set of the rules that accept the value; a request looks up one
- * set a condition and takes the lowest bit that all sets share. Cost is a few
- * map look-ups and one word operation per 32 rules and condition.
+ * Finds the first rule that matches a request. For each condition, an index maps
+ * a value to the bit set of rules that accept it. Resolving a request looks up
+ * one bit set per condition and returns the lowest bit that is set in all of
+ * them, at the cost of one map look-up per condition (several for paths) and one
+ * word operation per condition and 32 rules.
  */
 
 import type {
@@ -16,16 +17,22 @@
 
 type RuleBits = Uint32Array;
 
-/** Rules by the values that one condition accepts. */
+/** Index of the rules by the values that one condition accepts. */
 interface ValueIndex {
   readonly byValue: ReadonlyMap<string, RuleBits>;
-  /** Rules that accept any value not listed, or none at all. */
+  /**
+   * Rules without this condition, which match values that are absent or not
+   * listed.
+   */
   readonly unconditional: RuleBits;
 }
 
 interface HeaderIndex extends ValueIndex {
   readonly name: string;
-  /** Rules that accept a value which none of them lists. */
+  /**
+   * Rules that match when the header is present with a value that no rule
+   * lists.
+   */
   readonly unlisted: RuleBits;
 }
 
@@ -33,7 +40,7 @@
   readonly longestPrefix: number;
 }
 
-/** A rule set made ready for look-ups. */
+/** A rule set with its indexes. */
 export interface CompiledRules {
   readonly ruleSet: RuleSet;
   readonly tenant: ValueIndex;
@@ -48,7 +55,7 @@
 const WORD_BITS = 32;
 const ANY_VALUE = '*';
 
-/** Indexes `ruleSet`; done once per configuration. */
+/** Builds the indexes of `ruleSet`, once per configuration. */
 export function compileRules(ruleSet: RuleSet): CompiledRules {
   const {rules} = ruleSet;
   const index = (
@@ -66,7 +73,7 @@
   };
 }
 
-/** The first rule whose conditions all hold, or undefined. */
+/** Returns the first rule whose conditions all hold, or undefined. */
 export function resolveRule(
   compiled: CompiledRules,
   facts: RuleFacts,
@@ -88,13 +95,15 @@
   return {rule: name, index, then};
 }
 
-/** The value of one header, as a condition compares it. */
+/**
+ * Returns the value of a header in the form that conditions are compared with.
+ */
 export function readHeader(
   headers: RuleFacts['headers'],
   name: string,
 ): string | undefined {
-  // Node.js keeps headers in a plain object, on which `constructor` and the
-  // like are found though the caller sent no such header.
+  // Node.js stores headers in a plain object, so inherited properties such as
+  // `constructor` would otherwise pass for headers.
   const value = Object.hasOwn(headers, name) ? headers[name] : undefined;
   return typeof value === 'string' || value === undefined
     ? value
@@ -115,22 +124,22 @@
       setBit(getOrAdd(byValue, value, unconditional), i);
     }
   });
-  return {byValue, unconditional: unconditional};
+  return {byValue, unconditional};
 }
 
 function indexPaths(rules: readonly Rule[]): PathIndex {
   const pick = (when: RuleConditions) => when.pathPrefix?.map(canonicalizePath);
-  const {byValue, unconditional: unconditional} = indexValues(rules, pick);
+  const {byValue, unconditional} = indexValues(rules, pick);
   const prefixes = [...byValue.keys()].sort((a, b) => a.length - b.length);
-  // A path that a long prefix covers is covered by its shorter ones too; adding
-  // them here lets a look-up stop at the longest prefix that is listed.
+  // A path covered by a long prefix is also covered by its listed shorter
+  // prefixes. Merging those sets here lets a look-up stop at the longest match.
   for (const prefix of prefixes) {
     const parent = findLongestPrefix(byValue, prefix, prefix.length - 1);
     if (parent) addBits(byValue.get(prefix)!, parent);
   }
   return {
     byValue,
-    unconditional: unconditional,
+    unconditional,
     longestPrefix: prefixes.at(-1)?.length ?? 0,
   };
 }
@@ -140,7 +149,7 @@
   return [...names].map(name => {
     const pick = ({headers}: RuleConditions) =>
       Object.hasOwn(headers, name) ? headers[name] : undefined;
-    const {byValue, unconditional: unconditional} = indexValues(rules, pick);
+    const {byValue, unconditional} = indexValues(rules, pick);
     const unlisted = byValue.get(ANY_VALUE) ?? unconditional;
     for (const bits of byValue.values()) addBits(bits, unlisted);
     return {name, byValue, unconditional, unlisted};
@@ -169,7 +178,10 @@
   return index.byValue.get(joined) ?? index.unlisted;
 }
 
-/** The set of the longest listed prefix of `path` of at most `maxLength`. */
+/**
+ * Returns the set of the longest listed prefix of `path`, up to `maxLength`
+ * characters.
+ */
 function findLongestPrefix(
   byPrefix: ReadonlyMap<string, RuleBits>,
   path: string,
--- a/packages/core/src/rules/rule_path.ts
+++ b/packages/core/src/rules/rule_path.ts
@@ -1,15 +1,17 @@
-/** The form in which paths are compared with the prefixes of rules. */
+/**
+ * Canonicalizes request paths before they are compared with the path prefixes
+ * of rules.
+ */
 
 const NON_CANONICAL = /[?#%\\]|\/\/|\/\.|\/$/;
 const DOT_SEGMENT_OR_ESCAPE = /%|\\|\/\./;
 
 /**
- * Drops the query, empty segments and a slash at the end, and resolves dot
- * segments and escapes.
+ * Removes the query, empty segments and a trailing slash, and resolves dot
+ * segments and percent-encoding.
  *
- * A caller may write `/x/../orders` or `/%6frders`; an endpoint that resolves
- * it would run what the rule for `/orders` refuses. Comparing the resolved form
- * leaves no second spelling of a path.
+ * Without this a caller could bypass a rule that refuses `/orders` by sending
+ * `/x/../orders` or `/%6frders`, which the endpoint resolves to the same path.
  */
 export function canonicalizePath(path: string): string {
   if (!NON_CANONICAL.test(path)) return path;
--- a/packages/core/src/rules/rule_schema.ts
+++ b/packages/core/src/rules/rule_schema.ts
@@ -1,4 +1,4 @@
-/** The keys of the operators' configuration. */
+/** Specifies the sections and keys of the operators' configuration. */
 
 import {ERROR_ANSWERS, ErrorKind} from '@radishyoke/shared/error_kind';
 import {
@@ -15,19 +15,20 @@
 } from './key_spec.js';
 import type {WorkClass} from '../scheduling/scheduler.js';
 
-/** Most rules in one rule set. */
+/** Maximum number of rules in a rule set. */
 export const MAX_RULES = 1024;
-/** Most header names that the conditions of one rule set may look at. */
+/** Maximum number of distinct header names in the conditions of a rule set. */
 export const MAX_HEADER_NAMES = 32;
-/** Keys `when.header.NAME` begin with this. */
+/** Prefix of the keys `when.header.NAME`. */
 export const HEADER_KEY_PREFIX = 'when.header.';
 
 const MAX_LIST_ITEMS = 256;
 
 const WORK_CLASSES: readonly WorkClass[] = ['interactive', 'rollout'];
 
-// A rule refuses before anything is sent, so only kinds that say so may be
-// named: with another kind a caller would be told that the request may have run.
+// A rule refuses a request before anything is sent, so only error kinds that
+// state this are allowed. Any other kind would tell the caller that the request
+// may have run.
 const REFUSE_KINDS = (Object.keys(ERROR_ANSWERS) as ErrorKind[]).filter(
   kind => ERROR_ANSWERS[kind].ran === 'no',
 );
@@ -44,7 +45,7 @@
   endpoints: required(namesType, 'Endpoints of the group, by id.'),
 };
 
-/** Sections `[rule.NAME]`, but for the header conditions. */
+/** Sections `[rule.NAME]`, except for the header conditions. */
 export const RULE_SPEC = {
   'when.tenant': optional(namesType, 'Tenant of the request.'),
   'when.class': optional(
--- a/packages/core/src/rules/rule_text.ts
+++ b/packages/core/src/rules/rule_text.ts
@@ -1,6 +1,6 @@
 /**
- * Reads the operators' configuration. Every VM and the command line run this
- * same check, so a text is accepted everywhere or nowhere.
+ * Parses and validates the operators' configuration. All VMs and the command
+ * line share this code, so that they accept the same texts.
  */
 
 import {TeamId, toEndpointId, toTeamId} from '@radishyoke/shared/ids';
@@ -31,7 +31,7 @@
 const HEADER_NAME = /^[a-z0-9][a-z0-9!#$%&'*+.^_`|~-]{0,99}$/;
 const EXPECTED_SECTION = 'one of [config], [group.NAME], [rule.NAME]';
 
-/** Reads `text`; `file` names it in problems. */
+/** Parses `text`; `file` is the name that problems are reported under. */
 export function parseRuleText(
   text: string,
   file: string,
@@ -215,8 +215,9 @@
 }
 
 /**
- * Checks a publication by `team`; the problem for a person, or undefined.
- * A text that names another team would put that team's rules in force.
+ * Validates a text that `team` publishes. Returns a readable description of the
+ * problems, or undefined if there are none. A text that names another team is
+ * rejected, because it would replace that team's rules.
  */
 export function checkRuleText(text: string, team: TeamId): string | undefined {
   const parsed = parseRuleText(text, 'rules');
--- a/packages/core/src/trace/__tests__/day_summary.spec.ts
+++ b/packages/core/src/trace/__tests__/day_summary.spec.ts
@@ -11,7 +11,7 @@
   return {vm, timeMs, event, fields, sequence: 0};
 }
 
-test('a day has its steps, outages, coordinators, loads and requests', t => {
+test('a day lists its steps, outages, coordinators, loads and requests', t => {
   const day = summarizeDay([
     createLine('a', 0, 'started'),
     createLine('a', 10, 'coordinator now'),
@@ -54,7 +54,7 @@
   ]);
 });
 
-test('what a VM was in ends with its process', t => {
+test('open spans of a VM end when its process is restarted', t => {
   const day = summarizeDay([
     createLine('a', 10, 'coordinator now'),
     createLine('a', 20, 'topic can not be read', {topic: 'x'}),
@@ -64,6 +64,6 @@
   t.deepEqual(day.coordinators, [{vm: 'a', fromMs: 10, toMs: 700}]);
 });
 
-test('no lines make no day', t => {
+test('no summary is made without lines', t => {
   t.is(summarizeDay([]), undefined);
 });
--- a/packages/core/src/trace/__tests__/trace_path.spec.ts
+++ b/packages/core/src/trace/__tests__/trace_path.spec.ts
@@ -12,7 +12,10 @@
   return {vm, timeMs, event, fields, sequence: 0};
 }
 
-/** What two VMs, `b` with a clock 700 ms ahead, write of one item that moves. */
+/**
+ * Creates the lines of an item that moves between endpoints, logged by two VMs;
+ * the clock of `b` is 700 ms ahead.
+ */
 function createItemLog(): readonly TraceLine[] {
   const run = {requestId: 'item', batch: 'lot', endpoint: 'e1'};
   return [
@@ -36,7 +39,7 @@
   ];
 }
 
-test('a line is read whatever a collector put before it', t => {
+test('a line is parsed whatever prefix a collector put before it', t => {
   const json = JSON.stringify({
     context: {vm: 'a', requestId: 'x', logLevel: 30},
     message: 'request',
@@ -56,15 +59,15 @@
   }
 });
 
-// An engineer sees an item run before its batch was accepted.
-// 1. The VM that runs it has a clock that is ahead of the one that accepted it.
-// 2. Lines sorted by their times tell a story that can not have been.
-test('clocks are aligned by what all VMs learn at one time', t => {
+// Guards against an impossible order of lines: if the clocks of the VM that
+// accepted a batch and the VM that runs its items differ, sorting the lines by
+// their own times can show an item that runs before its batch was accepted.
+test('clocks are aligned by facts that all VMs learn at the same time', t => {
   const offsets = alignClocks(createItemLog());
   t.true(Math.abs(offsets.get('a')! - offsets.get('b')! - 700) <= 5);
 });
 
-test('the path of an item has its batch, its moves and what explains them', t => {
+test('the path of an item contains its batch, its moves and their context', t => {
   const path = tracePath(createItemLog(), 'item');
   t.deepEqual(
     path.map(({line, role}) => [line.event, role]),
@@ -101,10 +104,9 @@
   t.true(tracePath(lines, 'e9').length > 0);
 });
 
-// A request is refused for a route that is there.
-// 1. The operator adds the route; all VMs but one learn of it.
-// 2. That one refuses a request for it.
-test('the path shows that a VM went by an older configuration than others', t => {
+// A request is refused although its route exists: the operator added the route,
+// but one VM has not received the new configuration and refuses the request.
+test('the path shows that a VM used an older configuration than others', t => {
   const lines = [
     createLine('a', 1000, 'configuration in force', {configVersion: 3}),
     createLine('b', 1000, 'configuration in force', {configVersion: 3}),
@@ -132,7 +134,7 @@
   t.deepEqual(events, ['attempt failed', 'request']);
 });
 
-test('all repeats of one request are found by its fingerprint', t => {
+test('all repetitions of a request are found by its fingerprint', t => {
   const lines = [
     createLine('a', 1000, 'attempt failed', {requestId: 'x', fingerprint: 'f'}),
     createLine('b', 2000, 'run broken', {requestId: 'y', fingerprint: 'f'}),
@@ -142,6 +144,6 @@
   t.deepEqual(ids, ['x', 'y']);
 });
 
-test('a path that nobody wrote of is empty', t => {
+test('the path of an id that no line names is empty', t => {
   t.deepEqual(tracePath(createItemLog(), 'unheard'), []);
 });
--- a/packages/core/src/trace/clock_alignment.ts
+++ b/packages/core/src/trace/clock_alignment.ts
@@ -1,17 +1,18 @@
 /**
- * Puts the lines of many VMs on one time line, though their clocks differ.
+ * Aligns the log lines of VMs whose clocks differ on a common time line.
  *
- * Every VM logs some facts that all learn from the platform's log within a few
- * ms: a version in force, weights that were named, an endpoint's entry. What two
- * VMs say of the time of the same fact tells how far their clocks are apart.
+ * All VMs learn some facts from the platform's log within a few ms of each other
+ * and log them: a configuration version in force, named weights, a change to an
+ * endpoint. The times at which two VMs log the same fact show the difference
+ * between their clocks.
  */
 
 import {readText, type TraceLine} from './trace_line.js';
 
-/** How much is added to the times of each VM, ms. */
+/** Milliseconds to add to the times of each VM. */
 export type ClockOffsets = ReadonlyMap<string, number>;
 
-/** Fields that name the same fact on every VM, by event. */
+/** By event, the fields that identify the same fact on every VM. */
 const SHARED_FACTS: Readonly<Record<string, readonly string[]>> = {
   'configuration in force': ['configVersion'],
   'weights named': ['model', 'version'],
@@ -21,8 +22,9 @@
 };
 
 /**
- * Estimates the offsets that make the VMs agree on shared facts: the median of
- * their differences from the median VM, since one VM may learn of a fact late.
+ * Estimates the clock offsets of the VMs. Each offset is the median difference
+ * between the VM's times and the median times of the shared facts; medians are
+ * used because a VM may learn of a single fact late.
  */
 export function alignClocks(lines: readonly TraceLine[]): ClockOffsets {
   const facts = new Map<string, Map<string, number>>();
@@ -51,7 +53,7 @@
   );
 }
 
-/** Unix ms of the line on the common time line. */
+/** Returns the time of a line on the common time line, Unix ms. */
 export function alignTime(line: TraceLine, offsets: ClockOffsets): number {
   return line.timeMs + (offsets.get(line.vm) ?? 0);
 }
@@ -62,6 +64,7 @@
   return [line.event, ...fields.map(field => readText(line, field))].join(' ');
 }
 
+/** Sorts `values` in place and returns their upper median. */
 function findMedian(values: number[]): number {
   values.sort((a, b) => a - b);
   return values[Math.floor(values.length / 2)];
--- a/packages/core/src/trace/day_summary.ts
+++ b/packages/core/src/trace/day_summary.ts
@@ -1,15 +1,17 @@
-/** What a day was like, from the logs of all VMs on one time line. */
+/** Summarizes a day from the logs of all VMs, aligned on a common time line. */
 
 import {alignClocks, alignTime} from './clock_alignment.js';
 import {readText, type TraceLine} from './trace_line.js';
 
-/** A span of time, Unix ms; without an end it lasted beyond the logs. */
+/**
+ * A span of time, Unix ms; without `toMs` it had not ended when the logs end.
+ */
 export interface TimeSpan {
   readonly fromMs: number;
   readonly toMs?: number;
 }
 
-/** A batch from its acceptance to its end. */
+/** A training step's batch, from its acceptance to its end. */
 export interface StepSpan extends TimeSpan {
   readonly batch: string;
   readonly model: string;
@@ -17,12 +19,12 @@
   readonly results: number;
 }
 
-/** A VM out of touch with the log, or the one that ran the batches. */
+/** A time in which a VM could not read the log, or was the coordinator. */
 export interface VmSpan extends TimeSpan {
   readonly vm: string;
 }
 
-/** An order to an engine that was accepted. */
+/** An accepted order to an engine to load weights. */
 export interface WeightLoad {
   readonly atMs: number;
   readonly endpoint: string;
@@ -30,10 +32,10 @@
   readonly version: string;
 }
 
-/** How often something happened in each second of the day. */
+/** How often something occurred in each second of the day. */
 export interface CountsPerSecond {
   readonly name: string;
-  /** By whole seconds from the start of the day. */
+  /** Indexed by full seconds since the start of the day. */
   readonly counts: readonly number[];
 }
 
@@ -54,7 +56,7 @@
   toMs?: number;
 }
 
-/** Summarizes a day; undefined without a line. */
+/** Summarizes a day; returns undefined if there are no lines. */
 export function summarizeDay(
   lines: readonly TraceLine[],
 ): DaySummary | undefined {
@@ -109,7 +111,7 @@
       case 'batch call refused':
         return this.countEvent('batch call refused', atMs);
       case 'started':
-        // What the VM was in before has ended with its process.
+        // Spans that the previous process left open ended with it.
         this.closeAllSpans(this.outages, line.vm, atMs);
         this.closeAllSpans(this.coordinators, line.vm, atMs);
     }
@@ -135,7 +137,7 @@
 
   private openStep(line: TraceLine, atMs: number): void {
     const batch = readText(line, 'requestId');
-    // The same batch is accepted again where an acknowledgement was lost.
+    // A batch is accepted again if the acknowledgement was lost.
     if (this.steps.has(batch)) return;
     this.steps.set(batch, {
       batch,
--- a/packages/core/src/trace/trace_line.ts
+++ b/packages/core/src/trace/trace_line.ts
@@ -1,13 +1,13 @@
-/** One line of a VM's log, as whoever looks into a fault reads it. */
+/** Parses the lines of a VM's log for fault analysis. */
 
 import type {LogEventName} from '@radishyoke/shared/log_event';
 
-/** Values of a line's fields. */
+/** Value of a field of a line. */
 export type TraceValue = string | number | boolean | undefined;
 
 export interface TraceLine {
   readonly vm: string;
-  /** Place in the log of its process, from 0. */
+  /** Position in the log of its process, from 0. */
   readonly sequence: number;
   /** Unix ms by the VM's clock. */
   readonly timeMs: number;
@@ -15,7 +15,7 @@
   readonly fields: Readonly<Record<string, TraceValue>>;
 }
 
-/** Fields that each line has and that say nothing of its event. */
+/** Fields that are present in every line and do not describe its event. */
 const COMMON_FIELDS: ReadonlySet<string> = new Set([
   'vm',
   'application',
@@ -23,8 +23,8 @@
 ]);
 
 /**
- * Reads one line of a log, or undefined if it is none. Whatever a collector put
- * before the JSON object is skipped.
+ * Parses a log line; returns undefined if the text is not one. Any prefix that a
+ * log collector put before the JSON object is skipped.
  */
 export function parseTraceLine(text: string): TraceLine | undefined {
   const start = text.indexOf('{');
@@ -45,7 +45,7 @@
   };
 }
 
-/** The lines of a log; whatever else stands between them is left out. */
+/** Parses a log; text that is not a log line is ignored. */
 export function parseTraceLines(text: string): readonly TraceLine[] {
   return text
     .split('\n')
@@ -53,7 +53,7 @@
     .filter(line => line !== undefined);
 }
 
-/** A field's value as text; empty where the line has none. */
+/** Returns the value of a field as text; empty if the line lacks the field. */
 export function readText(line: TraceLine, field: string): string {
   return String(line.fields[field] ?? '');
 }
--- a/packages/core/src/trace/trace_path.ts
+++ b/packages/core/src/trace/trace_path.ts
@@ -1,7 +1,6 @@
 /**
- * The path of a request, an item, a batch or an engine through all VMs: the
- * lines that tell of it, in an order that no cause breaks, and those that
- * explain them.
+ * Traces a request, an item, a batch or an engine through the logs of all VMs:
+ * the lines about it in causal order, with the lines that explain them.
  */
 
 import {alignClocks, alignTime, type ClockOffsets} from './clock_alignment.js';
@@ -9,11 +8,14 @@
 
 /** Why a line is part of a path. */
 export type TraceRole =
-  /** It names what was asked for. */
+  /** The line names the traced id. */
   | 'subject'
-  /** It names the batch of the item that was asked for. */
+  /** The line is about the batch of the traced item. */
   | 'batch'
-  /** It tells what the VMs or endpoints of the path went through meanwhile. */
+  /**
+   * The line reports what happened to a VM or endpoint of the path at that
+   * time.
+   */
   | 'context';
 
 export interface TraceEntry {
@@ -23,9 +25,12 @@
   readonly line: TraceLine;
 }
 
-/** Lines this long before the first and after the last of the subject explain it, ms: a lease and a load. */
+/**
+ * Context lines are included up to this long before or after a line of the
+ * path, ms; it covers a lease and a weight load.
+ */
 const CONTEXT_MS = 5000;
-/** What VMs and endpoints go through, and what that says of a path. */
+/** Events of VMs and endpoints that can explain a path. */
 const CONTEXT_EVENTS: ReadonlySet<string> = new Set([
   'started',
   'stopping',
@@ -45,7 +50,7 @@
   'order to an engine',
   'log lines dropped',
 ]);
-/** Of the same ms, what comes first by its nature. */
+/** Causal order of events that are logged in the same millisecond. */
 const EVENT_ORDER: readonly string[] = [
   'batch accepted',
   'coordinator now',
@@ -59,7 +64,7 @@
   'batch end',
 ];
 
-/** Finds the path of `id` among the lines of all VMs. */
+/** Finds the path of `id` in the lines of all VMs. */
 export function tracePath(
   lines: readonly TraceLine[],
   id: string,
@@ -91,7 +96,10 @@
   return sortEntries(entries, lines);
 }
 
-/** Whether the line names `id` as its request, item, batch or endpoint, or as what was asked. */
+/**
+ * Whether the line names `id` as its request, item, batch, endpoint or request
+ * fingerprint.
+ */
 function isAbout(line: TraceLine, id: string): boolean {
   const isNamed = ['requestId', 'batch', 'fingerprint'].some(
     field => readText(line, field) === id,
@@ -99,7 +107,10 @@
   return isNamed || listEndpoints(line).includes(id);
 }
 
-/** Endpoints that the line names: one, or several that changed at once. */
+/**
+ * Lists the endpoints that the line names: one, or several that changed
+ * together.
+ */
 function listEndpoints(line: TraceLine): readonly string[] {
   const endpoint = readText(line, 'endpoint');
   if (endpoint !== '') return [endpoint];
@@ -107,13 +118,19 @@
   return endpoints === '' ? [] : endpoints.split(',');
 }
 
-/** Whether the line tells of one of `batches` as a whole. */
+/**
+ * Whether the line is about one of `batches`, rather than about one of its
+ * items.
+ */
 function isBatchLine(line: TraceLine, batches: ReadonlySet<string>): boolean {
   if (!line.event.startsWith('batch ')) return false;
   return batches.has(readText(line, 'requestId'));
 }
 
-/** Whether the step tells what VMs or endpoints of `path` went through then. */
+/**
+ * Whether the entry reports what happened to VMs or endpoints of `path` around
+ * that time.
+ */
 function isContextOf(entry: TraceEntry, path: readonly TraceEntry[]): boolean {
   const {line, atMs} = entry;
   if (!CONTEXT_EVENTS.has(line.event)) return false;
@@ -133,8 +150,8 @@
 }
 
 /**
- * For the first step of the path: the configuration in force on its VM, and the
- * newest that any VM had by then, which tells whether this one was behind.
+ * Finds the configuration in force on the VM of the path's first entry, and the
+ * newest one that any VM had by then, which shows whether that VM was behind.
  */
 function findConfigLines(
   lines: readonly TraceLine[],
@@ -158,7 +175,10 @@
   return Number(line.fields['configVersion'] ?? 0);
 }
 
-/** Only items of batches go through the coordinator. */
+/**
+ * Whether the path concerns a batch; only batch items go through the
+ * coordinator.
+ */
 function hasItems(path: readonly TraceEntry[]): boolean {
   return path.some(({line}) => line.event.startsWith('batch '));
 }
@@ -172,8 +192,8 @@
 }
 
 /**
- * By time; the lines of one VM in the order in which they were given, which is
- * the one in which it wrote them, even where its clock went back meanwhile.
+ * Sorts entries by time. Lines of one VM keep the order in which they are given,
+ * which is the order in which it wrote them, even if its clock was set back.
  */
 function sortEntries(
   entries: readonly TraceEntry[],
