--- a/packages/bench/src/herding.ts
+++ b/packages/bench/src/herding.ts
@@ -61,7 +61,7 @@
     return [{...action, ...resume, endpoint: least.endpoint}];
   }
 
-  countWorks(): number {
+  countWorkItems(): number {
     return this.works;
   }
 
--- a/packages/bench/src/steps.ts
+++ b/packages/bench/src/steps.ts
@@ -7,7 +7,7 @@
 import {
   DEFAULT_POLICY,
   PolicyOptions,
-  ROUND_START_POLICY,
+  BASELINE_POLICY,
 } from '@radishyoke/core/scheduling/policy_options';
 import {PolicyScheduler} from '@radishyoke/core/scheduling/policy_scheduler';
 import {createRandomBits} from '@radishyoke/core/scheduling/random_bits';
@@ -61,7 +61,7 @@
 
 const CONTENDERS: readonly Contender[] = [
   NAIVE,
-  createPolicyContender('round_start', ROUND_START_POLICY),
+  createPolicyContender('round_start', BASELINE_POLICY),
   createPolicyContender('present', {}),
 ];
 
--- a/packages/bench/src/steps_vms.ts
+++ b/packages/bench/src/steps_vms.ts
@@ -60,7 +60,7 @@
   }
 
   countWorks(): number {
-    return this.schedulers.reduce((sum, s) => sum + s.countWorks(), 0);
+    return this.schedulers.reduce((sum, s) => sum + s.countWorkItems(), 0);
   }
 
   private apply(vm: number, action: SchedulerAction): void {
--- a/packages/bench/src/steps_world.ts
+++ b/packages/bench/src/steps_world.ts
@@ -9,7 +9,7 @@
 import {drawOutputTokens} from '@radishyoke/fakes/output_length';
 import {
   createRandomBits,
-  drawBelow,
+  pickRandomBelow,
 } from '@radishyoke/core/scheduling/random_bits';
 import type {AttemptOutcome} from '@radishyoke/core/scheduling/failure';
 import type {
@@ -162,7 +162,7 @@
     if (fault.swapFails) engines[1].model.setSwapFailure('later');
     if (fault.crashEveryMs) {
       this.clock.every(fault.crashEveryMs, () =>
-        engines[drawBelow(this.random, engines.length)].crash(),
+        engines[pickRandomBelow(this.random, engines.length)].crash(),
       );
     }
     if (fault.floodSamples) {
@@ -229,7 +229,7 @@
 
   private openStep(trainer: number, plan: TrainerPlan, index: number): void {
     const openedAtMs = this.clock.nowMs;
-    const vm = drawBelow(this.random, this.vms.count);
+    const vm = pickRandomBelow(this.random, this.vms.count);
     const seeds = listSeeds(this.options.seed, trainer, index);
     let left = seeds.length;
     const onOver = () => {
@@ -257,7 +257,7 @@
   }
 
   private flood(count: number): void {
-    const vm = drawBelow(this.random, this.vms.count);
+    const vm = pickRandomBelow(this.random, this.vms.count);
     for (let i = 0; i < count; i++) {
       this.enqueue(vm, {
         tenant: FLOOD_TENANT,
@@ -273,7 +273,7 @@
 
   private sendHint(): void {
     const startMs = this.clock.nowMs;
-    this.enqueue(drawBelow(this.random, this.vms.count), {
+    this.enqueue(pickRandomBelow(this.random, this.vms.count), {
       tenant: 'app',
       stepKey: '',
       groupKey: '',
@@ -286,7 +286,7 @@
 
   private sendApp(): void {
     const startMs = this.clock.nowMs;
-    this.enqueue(drawBelow(this.random, this.vms.count), {
+    this.enqueue(pickRandomBelow(this.random, this.vms.count), {
       tenant: 'app',
       stepKey: '',
       groupKey: '',
@@ -468,10 +468,10 @@
 
   private drawSilentFromMs(): number {
     const share = this.options.fault.silentShare ?? 0;
-    if (share === 0 || drawBelow(this.random, 1000) >= share * 1000) {
+    if (share === 0 || pickRandomBelow(this.random, 1000) >= share * 1000) {
       return Infinity;
     }
-    return this.clock.nowMs + drawBelow(this.random, 20_000);
+    return this.clock.nowMs + pickRandomBelow(this.random, 20_000);
   }
 }
 
--- a/packages/core/src/membership/membership.ts
+++ b/packages/core/src/membership/membership.ts
@@ -12,8 +12,8 @@
 import {ConfigCatchUp} from '../rules/config_catch_up.js';
 import {
   createRandomBits,
-  drawBelow,
-  drawSome,
+  pickRandomBelow,
+  pickRandomItems,
   RandomBits,
 } from '../scheduling/random_bits.js';
 import type {Contact, ProbeStep} from './contact.js';
@@ -180,7 +180,11 @@
   private askHelpers(target: VmId): void {
     const address = this.directory.get(target)!.peerAddress;
     const others = this.contacts.neighbours.filter(id => id !== target);
-    const helpers = drawSome(this.random, others, MEMBERSHIP_LIMITS.helpers);
+    const helpers = pickRandomItems(
+      this.random,
+      others,
+      MEMBERSHIP_LIMITS.helpers,
+    );
     for (const helper of helpers) {
       this.send(helper, {kind: 'probe_request', target, address});
     }
@@ -212,7 +216,8 @@
     this.reviveAtMs = nowMs + MEMBERSHIP_TIMING.reviveEveryMs;
     this.directory.forget(nowMs - MEMBERSHIP_TIMING.forgetAfterMs);
     const failed = this.directory.list().filter(m => m.state === 'failed');
-    for (const {id} of drawSome(this.random, failed, 1)) this.ping(id, nowMs);
+    for (const {id} of pickRandomItems(this.random, failed, 1))
+      this.ping(id, nowMs);
   }
 
   private dialSeeds(nowMs: number): void {
@@ -440,7 +445,7 @@
   /** When there is no news, any belief: it mends what was ever missed. */
   private chooseFiller(to: VmId): Member | undefined {
     const members = this.directory.list();
-    const member = members[drawBelow(this.random, members.length)];
+    const member = members[pickRandomBelow(this.random, members.length)];
     return member?.id === to ? undefined : member;
   }
 
--- a/packages/core/src/rewards/__tests__/reward_desk.spec.ts
+++ b/packages/core/src/rewards/__tests__/reward_desk.spec.ts
@@ -1,6 +1,6 @@
 import test from 'ava';
 import type {Job} from '../../batches/batch_job.js';
-import type {EndpointChoice} from '../../routing/endpoint_choice.js';
+import type {EndpointCandidate} from '../../routing/endpoint_choice.js';
 import {RewardDesk} from '../reward_desk.js';
 import {
   createChoice,
@@ -9,7 +9,7 @@
   listCancelled,
 } from './reward_fixtures.js';
 
-function createDesk(endpoints: readonly EndpointChoice[]) {
+function createDesk(endpoints: readonly EndpointCandidate[]) {
   const desk = new RewardDesk('dc');
   const decide = (jobs: readonly Job[], nowMs: number) =>
     desk.decide(jobs, () => ({endpoints}), nowMs, 0);
--- a/packages/core/src/rewards/__tests__/reward_fixtures.ts
+++ b/packages/core/src/rewards/__tests__/reward_fixtures.ts
@@ -9,7 +9,7 @@
   createSchedule,
   listStarts,
 } from '../../batches/__tests__/batch_fixtures.js';
-import type {EndpointChoice} from '../../routing/endpoint_choice.js';
+import type {EndpointCandidate} from '../../routing/endpoint_choice.js';
 import type {RewardAction, RewardCall} from '../reward_desk.js';
 
 export function createRewardItem(id: string) {
@@ -53,14 +53,14 @@
 
 export function createChoice(
   id: string,
-  extra: Partial<EndpointChoice> = {},
-): EndpointChoice {
+  extra: Partial<EndpointCandidate> = {},
+): EndpointCandidate {
   return {
     id,
     slots: 6,
     dataCentre: 'dc',
     inFlight: 0,
-    reported: 0,
+    reportedLoad: 0,
     failures: 0,
     failedAtMs: -Infinity,
     ...extra,
--- a/packages/core/src/rewards/reward_desk.ts
+++ b/packages/core/src/rewards/reward_desk.ts
@@ -11,12 +11,12 @@
 import type {RewardRequest} from '../batches/batch_record.js';
 import {
   chooseEndpoint,
-  type EndpointChoice,
+  type EndpointCandidate,
 } from '../routing/endpoint_choice.js';
 
 /** Where a reward call may go, by the rule that is in force. */
 export interface RewardRoute {
-  readonly endpoints: readonly EndpointChoice[];
+  readonly endpoints: readonly EndpointCandidate[];
 }
 
 /** Finds where the reward call of `job` may go now; undefined where nowhere. */
@@ -184,12 +184,12 @@
   }
 
   /** Calls that were decided on and are not under way yet count as well. */
-  private countOwn(endpoint: EndpointChoice): EndpointChoice {
+  private countOwn(endpoint: EndpointCandidate): EndpointCandidate {
     const own = this.atEndpoint.get(endpoint.id) ?? 0;
     return {...endpoint, inFlight: Math.max(endpoint.inFlight, own)};
   }
 
-  private hasRoom({id, slots}: EndpointChoice): boolean {
+  private hasRoom({id, slots}: EndpointCandidate): boolean {
     const room = Math.max(slots - RESERVED_SLOTS, 1);
     return (this.atEndpoint.get(id) ?? 0) < room;
   }
--- a/packages/core/src/routing/__tests__/attempt_policy.spec.ts
+++ b/packages/core/src/routing/__tests__/attempt_policy.spec.ts
@@ -3,7 +3,7 @@
 import {
   type AttemptEnd,
   type AttemptTally,
-  decideNext,
+  decideNextStep,
   measureHedgeMs,
   type NextStep,
   type RequestTerms,
@@ -86,7 +86,7 @@
 for (const {name, terms, end, tally, expected} of CASES) {
   test(name, t => {
     const full = {ran: 0, notRun: 0, ...tally};
-    t.is(decideNext(terms, end, full).kind, expected);
+    t.is(decideNextStep(terms, end, full).kind, expected);
   });
 }
 
@@ -112,13 +112,13 @@
 });
 
 /** Plays attempts that end as `ends` say, one after the other, as the forwarder does. */
-function playAttempts(terms: RequestTerms, ends: readonly AttemptEnd[]) {
+function runAttempts(terms: RequestTerms, ends: readonly AttemptEnd[]) {
   let ran = 0;
   let notRun = 0;
   for (const end of ends) {
     if (end.kind === 'not_run') notRun += 1;
     else ran += 1;
-    const {kind} = decideNext(terms, end, {ran, notRun});
+    const {kind} = decideNextStep(terms, end, {ran, notRun});
     if (kind !== 'try_again') return {ran, outcome: kind};
   }
   return {ran, outcome: undefined};
@@ -133,7 +133,7 @@
       anyTerms,
       fc.array(anyEnd, {minLength: 1, maxLength: 12}),
       (terms, ends) => {
-        const {ran, outcome} = playAttempts(terms, ends);
+        const {ran, outcome} = runAttempts(terms, ends);
         if (outcome === 'refuse') t.is(ran, 0);
         t.true(ran <= (terms.isRepeatable ? terms.attempts : 1));
       },
--- a/packages/core/src/routing/__tests__/endpoint_choice.spec.ts
+++ b/packages/core/src/routing/__tests__/endpoint_choice.spec.ts
@@ -1,16 +1,16 @@
 import test from 'ava';
-import {chooseEndpoint, type EndpointChoice} from '../endpoint_choice.js';
+import {chooseEndpoint, type EndpointCandidate} from '../endpoint_choice.js';
 
-function createChoice(
+function createCandidate(
   id: string,
-  extra: Partial<EndpointChoice> = {},
-): EndpointChoice {
+  extra: Partial<EndpointCandidate> = {},
+): EndpointCandidate {
   return {
     id,
     slots: 6,
     dataCentre: 'near',
     inFlight: 0,
-    reported: 0,
+    reportedLoad: 0,
     failures: 0,
     failedAtMs: -Infinity,
     ...extra,
@@ -20,9 +20,9 @@
 const NONE: ReadonlySet<string> = new Set();
 
 test('the least loaded endpoint is chosen, near ones first among equals', t => {
-  const busy = createChoice('busy', {inFlight: 3});
-  const far = createChoice('far', {dataCentre: 'far'});
-  const near = createChoice('near');
+  const busy = createCandidate('busy', {inFlight: 3});
+  const far = createCandidate('far', {dataCentre: 'far'});
+  const near = createCandidate('near');
   t.is(chooseEndpoint([busy, far, near], NONE, 'near', 0, 0)?.id, 'near');
   t.is(chooseEndpoint([busy, far], NONE, 'near', 0, 0)?.id, 'far');
   t.is(chooseEndpoint([busy], new Set(['busy']), 'near', 0, 0), undefined);
@@ -33,8 +33,8 @@
 // 2. By load alone it is the best choice for every request.
 // Cause: an endpoint that fails fast looks idle.
 test('an endpoint that fails is avoided for a while, longer each time', t => {
-  const failed = createChoice('failed', {failures: 1, failedAtMs: 1000});
-  const busy = createChoice('busy', {inFlight: 7});
+  const failed = createCandidate('failed', {failures: 1, failedAtMs: 1000});
+  const busy = createCandidate('busy', {inFlight: 7});
   const choose = (nowMs: number, failures: number) =>
     chooseEndpoint([{...failed, failures}, busy], NONE, 'near', 0, nowMs)?.id;
   t.is(choose(1499, 1), 'busy');
@@ -47,6 +47,6 @@
 // 1. Endpoints slow down and requests pile up at each of them.
 // 2. Every VM adds more, and connections over the limit are reset in mid-request.
 test('an endpoint that has all that this VM may keep there is not chosen', t => {
-  const full = createChoice('full', {inFlight: 8});
+  const full = createCandidate('full', {inFlight: 8});
   t.is(chooseEndpoint([full], NONE, 'near', 0, 0), undefined);
 });
--- a/packages/core/src/routing/attempt_policy.ts
+++ b/packages/core/src/routing/attempt_policy.ts
@@ -44,7 +44,7 @@
 }
 
 /** Decides after an attempt ended; `tally` counts it already. */
-export function decideNext(
+export function decideNextStep(
   terms: RequestTerms,
   end: AttemptEnd,
   tally: AttemptTally,
--- a/packages/core/src/routing/route_table.ts
+++ b/packages/core/src/routing/route_table.ts
@@ -113,15 +113,15 @@
    * path segment, whatever the number of routes.
    */
   match(host: string, path: string): Route | undefined {
-    const prefixes = this.byHost.get(canonicalHost(host));
+    const prefixes = this.byHost.get(canonicalizeHost(host));
     if (!prefixes) return undefined;
-    const end = path.indexOf('?');
-    const bare = end < 0 ? path : path.slice(0, end);
-    for (let at = bare.lastIndexOf('/'); at >= 0;) {
-      const route = prefixes.get(bare.slice(0, at + 1));
+    const queryStart = path.indexOf('?');
+    const pathname = queryStart < 0 ? path : path.slice(0, queryStart);
+    for (let slash = pathname.lastIndexOf('/'); slash >= 0;) {
+      const route = prefixes.get(pathname.slice(0, slash + 1));
       if (route) return route;
-      if (at === 0) break;
-      at = bare.lastIndexOf('/', at - 1);
+      if (slash === 0) break;
+      slash = pathname.lastIndexOf('/', slash - 1);
     }
     return undefined;
   }
@@ -147,12 +147,12 @@
 }
 
 /** `host` in lower case and without its port. */
-export function canonicalHost(host: string): string {
+export function canonicalizeHost(host: string): string {
   return host.toLowerCase().replace(/:\d+$/, '');
 }
 
 /** A number in [0, 1) that the same id always gives. */
-export function drawFromId(id: string): number {
+export function hashToUnitInterval(id: string): number {
   let hash = 2166136261;
   for (let i = 0; i < id.length; i++) {
     hash = Math.imul(hash ^ id.charCodeAt(i), 16777619);
@@ -164,12 +164,12 @@
  * Picks a service of `route` by weight. `draw` in [0, 1) decides, so that the
  * caller may derive it from the request's id and repeat the choice.
  */
-export function pickService(route: Route, draw: number): string | undefined {
+export function pickService(route: Route, random: number): string | undefined {
   const total = route.services.reduce((sum, {weight}) => sum + weight, 0);
-  let left = draw * total;
+  let remaining = random * total;
   for (const {service, weight} of route.services) {
-    left -= weight;
-    if (left < 0) return service;
+    remaining -= weight;
+    if (remaining < 0) return service;
   }
   return route.services.at(-1)?.service;
 }
--- a/packages/core/src/scheduling/__tests__/concurrency_limit.spec.ts
+++ b/packages/core/src/scheduling/__tests__/concurrency_limit.spec.ts
@@ -63,7 +63,7 @@
   test(`a limit ${name}`, t => {
     const limit = new ConcurrencyLimit();
     reports.forEach(([running, waiting], i) =>
-      limit.noteReport(
+      limit.recordReport(
         createReport('a', {running, waiting, measuredAtMs: (i + 1) * 1000}),
       ),
     );
@@ -74,7 +74,7 @@
 test('a limit falls when the endpoint turns work away', t => {
   const limit = new ConcurrencyLimit();
   const before = limit.limit;
-  limit.noteRejected(10);
-  limit.noteReport(createReport('a', {running: 16, measuredAtMs: 5}));
+  limit.recordRejection(10);
+  limit.recordReport(createReport('a', {running: 16, measuredAtMs: 5}));
   t.true(limit.limit < before);
 });
--- a/packages/core/src/scheduling/__tests__/fair_queue.spec.ts
+++ b/packages/core/src/scheduling/__tests__/fair_queue.spec.ts
@@ -11,7 +11,7 @@
   priority: fc.nat(1),
   deadlineAtMs: fc.nat(3),
   cost: fc.integer({min: 1, max: 9}),
-  begun: fc.boolean(),
+  isStarted: fc.boolean(),
 });
 
 const opsArbitrary = fc.array(
@@ -60,7 +60,7 @@
 function isAlike(a: QueueEntry, b: QueueEntry): boolean {
   return (
     a.priority === b.priority &&
-    a.begun === b.begun &&
+    a.isStarted === b.isStarted &&
     a.deadlineAtMs === b.deadlineAtMs &&
     a.cost === b.cost
   );
--- a/packages/core/src/scheduling/__tests__/policy_scheduler.spec.ts
+++ b/packages/core/src/scheduling/__tests__/policy_scheduler.spec.ts
@@ -16,36 +16,40 @@
 const FAILURES = Object.keys(RETRY_TABLE) as FailureKind[];
 
 /** Runs a scheduler and keeps an account of each work by its actions alone. */
-class Account {
+class WorkTracker {
   nowMs = 0;
   /** Oldest version of use to any step. */
-  min = 1;
+  minVersion = 1;
   /** Version that engines report and make output with. */
   version = 1;
   /** Version of the last output of each work. */
   readonly versions = new Map<string, number>();
-  readonly live = new Map<string, {attempt: number; endpoint: string}[]>();
-  readonly works = new Map<string, WorkItem>();
+  readonly running = new Map<string, {attempt: number; endpoint: string}[]>();
+  readonly workItems = new Map<string, WorkItem>();
   readonly sent = new Set<string>();
   readonly unsent = new Map<string, number>();
-  readonly finals = new Map<string, number>();
+  readonly ended = new Map<string, number>();
   readonly leaving = new Set<string>();
   readonly problems: string[] = [];
 
   constructor(readonly scheduler: PolicyScheduler) {}
 
   handle(event: SchedulerEvent): void {
-    if (event.kind === 'enqueue') this.works.set(event.work.id, event.work);
+    if (event.kind === 'enqueue') this.workItems.set(event.work.id, event.work);
     for (const action of this.scheduler.handle(event, this.nowMs)) {
       this.apply(action);
     }
   }
 
-  end(index: number, failure: FailureKind | undefined, sent: boolean): void {
-    const found = this.pick(index);
+  endAttempt(
+    index: number,
+    failure: FailureKind | undefined,
+    sent: boolean,
+  ): void {
+    const found = this.pickAttempt(index);
     if (!found) return;
     const {workId, attempt} = found;
-    this.drop(workId, attempt);
+    this.removeAttempt(workId, attempt);
     const isSent = sent && failure !== 'connect_failed';
     if (isSent || !failure) this.sent.add(workId);
     else this.unsent.set(workId, (this.unsent.get(workId) ?? 0) + 1);
@@ -67,7 +71,7 @@
   }
 
   progress(index: number): void {
-    const found = this.pick(index);
+    const found = this.pickAttempt(index);
     if (!found) return;
     const {version: weightVersion} = this;
     this.handle({kind: 'progress', ...found, tokens: 3, weightVersion});
@@ -75,16 +79,16 @@
 
   /** The caller goes away: no end is told, and nothing may follow. */
   cancel(index: number): void {
-    const open = [...this.works.keys()].filter(id => !this.finals.has(id));
+    const open = [...this.workItems.keys()].filter(id => !this.ended.has(id));
     if (open.length === 0) return;
     const workId = open[index % open.length];
     this.handle({kind: 'cancel', workId});
-    this.finals.set(workId, 1);
-    this.live.delete(workId);
+    this.ended.set(workId, 1);
+    this.running.delete(workId);
   }
 
-  private pick(index: number) {
-    const all = [...this.live].flatMap(([workId, attempts]) =>
+  private pickAttempt(index: number) {
+    const all = [...this.running].flatMap(([workId, attempts]) =>
       attempts.map(({attempt}) => ({workId, attempt})),
     );
     return all.length > 0 ? all[index % all.length] : undefined;
@@ -93,10 +97,11 @@
   private apply(action: SchedulerAction): void {
     if (action.kind === 'report_crash') return;
     const {workId} = action;
-    if (this.finals.has(workId)) this.problems.push(`${workId} after its end`);
+    if (this.ended.has(workId)) this.problems.push(`${workId} after its end`);
     if (action.kind === 'start') return this.start(action);
-    if (action.kind === 'stop') return this.drop(workId, action.attempt);
-    this.finals.set(workId, 1);
+    if (action.kind === 'stop')
+      return this.removeAttempt(workId, action.attempt);
+    this.ended.set(workId, 1);
     const isUntrue =
       action.kind === 'give_up' &&
       action.error.ran === 'no' &&
@@ -104,15 +109,15 @@
     if (isUntrue) this.problems.push(`${workId} ran though told it did not`);
     const isStale =
       action.kind === 'done' &&
-      this.works.get(workId)!.workClass === 'rollout' &&
-      this.versions.get(workId)! < this.min;
+      this.workItems.get(workId)!.workClass === 'rollout' &&
+      this.versions.get(workId)! < this.minVersion;
     if (isStale) this.problems.push(`${workId} handed over stale`);
-    this.live.delete(workId);
+    this.running.delete(workId);
   }
 
   private start(action: SchedulerAction & {kind: 'start'}): void {
     const {workId, attempt, endpoint} = action;
-    const work = this.works.get(workId)!;
+    const work = this.workItems.get(workId)!;
     // What never reached an endpoint doesn't count for rollouts.
     const unsent =
       work.workClass === 'rollout' ? (this.unsent.get(workId) ?? 0) : 0;
@@ -120,15 +125,15 @@
       this.problems.push(`${workId} too often`);
     }
     if (this.leaving.has(endpoint)) this.problems.push(`${workId} to leaving`);
-    const running = this.live.get(workId) ?? [];
+    const running = this.running.get(workId) ?? [];
     const isSecond = running.length > 0 || this.sent.has(workId);
     if (!work.idempotent && isSecond) this.problems.push(`${workId} twice`);
-    this.live.set(workId, [...running, {attempt, endpoint}]);
+    this.running.set(workId, [...running, {attempt, endpoint}]);
   }
 
-  private drop(workId: string, attempt: number): void {
-    const running = this.live.get(workId) ?? [];
-    this.live.set(
+  private removeAttempt(workId: string, attempt: number): void {
+    const running = this.running.get(workId) ?? [];
+    this.running.set(
       workId,
       running.filter(other => other.attempt !== attempt),
     );
@@ -194,10 +199,10 @@
   }),
 );
 
-function run(account: Account, op: Op, index: number): void {
+function applyOp(tracker: WorkTracker, op: Op, index: number): void {
   switch (op.op) {
     case 'enqueue':
-      return account.handle({
+      return tracker.handle({
         kind: 'enqueue',
         work: createWork(`w${index}`, {
           idempotent: op.idempotent,
@@ -205,83 +210,83 @@
           workClass: op.interactive ? 'interactive' : 'rollout',
           fingerprint: `f${op.fingerprint}`,
           stepKey: op.interactive ? '' : `s${op.tenant}`,
-          minWeightVersion: op.interactive ? 0 : account.min,
+          minWeightVersion: op.interactive ? 0 : tracker.minVersion,
         }),
       });
     case 'end':
-      return account.end(op.index, op.failure, op.sent);
+      return tracker.endAttempt(op.index, op.failure, op.sent);
     case 'wait':
-      account.nowMs += op.ms;
-      return account.handle({kind: 'tick'});
+      tracker.nowMs += op.ms;
+      return tracker.handle({kind: 'tick'});
     case 'report':
-      return account.handle({
+      return tracker.handle({
         kind: 'load',
         report: createReport(ENGINES[op.engine], {
           waiting: op.waiting,
           running: 5,
-          weightVersion: account.version,
-          leaving: account.leaving.has(ENGINES[op.engine]),
-          measuredAtMs: account.nowMs,
+          weightVersion: tracker.version,
+          leaving: tracker.leaving.has(ENGINES[op.engine]),
+          measuredAtMs: tracker.nowMs,
         }),
       });
     case 'peer':
-      return account.handle({
+      return tracker.handle({
         kind: 'peer_load',
         vm: toVmId('vm-2'),
         inFlight: new Map([[toEndpointId(ENGINES[op.engine]), op.count]]),
       });
     case 'publish':
-      account.version++;
+      tracker.version++;
       return;
     case 'raise':
-      account.min = Math.min(account.version, account.min + 1);
-      return raiseAll(account);
+      tracker.minVersion = Math.min(tracker.version, tracker.minVersion + 1);
+      return raiseAllBounds(tracker);
     case 'progress':
-      return account.progress(op.index);
+      return tracker.progress(op.index);
     case 'cancel':
-      return account.cancel(op.index);
+      return tracker.cancel(op.index);
     case 'suspect':
-      return account.handle({
+      return tracker.handle({
         kind: 'suspects',
         fingerprints: [`f${op.fingerprint}`, 'other'],
       });
     default: {
       const id = ENGINES[op.engine];
-      if (op.op === 'leave') account.leaving.add(id);
-      else account.leaving.delete(id);
+      if (op.op === 'leave') tracker.leaving.add(id);
+      else tracker.leaving.delete(id);
       const endpoints = ENGINES.map(e =>
-        createEndpoint(e, account.leaving.has(e) ? 'leaving' : 'live'),
+        createEndpoint(e, tracker.leaving.has(e) ? 'leaving' : 'live'),
       );
-      return account.handle({kind: 'endpoints', endpoints});
+      return tracker.handle({kind: 'endpoints', endpoints});
     }
   }
 }
 
-function raiseAll(account: Account): void {
+function raiseAllBounds(tracker: WorkTracker): void {
   for (const stepKey of ['s0', 's1', 's2']) {
-    const minWeightVersion = account.min;
-    account.handle({kind: 'min_version', stepKey, minWeightVersion});
+    const minWeightVersion = tracker.minVersion;
+    tracker.handle({kind: 'min_version', stepKey, minWeightVersion});
   }
 }
 
 /** Lets everything that is left run to its end. */
-function drain(account: Account): void {
-  account.leaving.clear();
+function finishAll(tracker: WorkTracker): void {
+  tracker.leaving.clear();
   const endpoints = ENGINES.map(id => createEndpoint(id));
-  account.handle({kind: 'endpoints', endpoints});
-  account.version += 2;
+  tracker.handle({kind: 'endpoints', endpoints});
+  tracker.version += 2;
   for (const id of ENGINES) {
-    const weightVersion = account.version;
-    const measuredAtMs = account.nowMs + 1;
+    const weightVersion = tracker.version;
+    const measuredAtMs = tracker.nowMs + 1;
     const report = createReport(id, {weightVersion, measuredAtMs});
-    account.handle({kind: 'load', report});
+    tracker.handle({kind: 'load', report});
   }
   const vm = toVmId('vm-2');
-  account.handle({kind: 'peer_load', vm, inFlight: new Map()});
-  for (let i = 0; i < 500 && account.scheduler.countWorks() > 0; i++) {
-    account.end(0, undefined, true);
-    account.nowMs += 100;
-    account.handle({kind: 'tick'});
+  tracker.handle({kind: 'peer_load', vm, inFlight: new Map()});
+  for (let i = 0; i < 500 && tracker.scheduler.countWorkItems() > 0; i++) {
+    tracker.endAttempt(0, undefined, true);
+    tracker.nowMs += 100;
+    tracker.handle({kind: 'tick'});
   }
 }
 
@@ -295,11 +300,11 @@
 test('every work ends once, the non-idempotent are sent once, nothing is stale', t => {
   fc.assert(
     fc.property(fc.array(opArbitrary, {maxLength: 150, size: 'max'}), ops => {
-      const account = new Account(createScheduler(ENGINES));
-      ops.forEach((op, index) => run(account, op, index));
-      drain(account);
-      const missing = [...account.works.keys()].filter(
-        id => !account.finals.has(id),
+      const account = new WorkTracker(createScheduler(ENGINES));
+      ops.forEach((op, index) => applyOp(account, op, index));
+      finishAll(account);
+      const missing = [...account.workItems.keys()].filter(
+        id => !account.ended.has(id),
       );
       return account.problems.length === 0 && missing.length === 0;
     }),
--- a/packages/core/src/scheduling/__tests__/retry_policy.spec.ts
+++ b/packages/core/src/scheduling/__tests__/retry_policy.spec.ts
@@ -34,13 +34,13 @@
   const tenant = toTenantId('trainer-1');
   const endpoint = toEndpointId('a');
   const starts = 1000;
-  for (let i = 0; i < starts; i++) budget.noteStart(tenant, endpoint);
+  for (let i = 0; i < starts; i++) budget.recordStart(tenant, endpoint);
   let allowed = 0;
   for (let i = 0; i < 10_000; i++) {
-    if (budget.take(tenant, endpoint, i / 10) === 0) allowed++;
+    if (budget.takeRetry(tenant, endpoint, i / 10) === 0) allowed++;
   }
   t.true(allowed > 100, `${allowed} retries`);
   t.true(allowed < starts * 0.25, `${allowed} retries`);
-  t.true(budget.take(tenant, endpoint, 1000) > 0);
-  t.is(budget.take(tenant, endpoint, 60_000), 0);
+  t.true(budget.takeRetry(tenant, endpoint, 1000) > 0);
+  t.is(budget.takeRetry(tenant, endpoint, 60_000), 0);
 });
--- a/packages/core/src/scheduling/admission.ts
+++ b/packages/core/src/scheduling/admission.ts
@@ -11,7 +11,7 @@
   rollout: 20_000,
 };
 /** Part of the expected wait that has to fit before the deadline. */
-const WAIT_TRUST: Readonly<Record<WorkClass, number>> = {
+const REQUIRED_WAIT_SHARE: Readonly<Record<WorkClass, number>> = {
   interactive: 1,
   rollout: 0.5,
 };
@@ -48,7 +48,7 @@
   const {workClass, tenant, deadlineAtMs} = work.item;
   const queue = group.queues[workClass];
   if (queue.size === 0) return undefined;
-  const waitMs = group.drains[workClass].estimateMs(
+  const waitMs = group.drainRates[workClass].estimateMs(
     queue.measureCostAhead(tenant),
   );
   const queued = queue.countOf(tenant);
@@ -57,15 +57,15 @@
   // the others are run for nothing; it is taken whole or not at all.
   if (isFull && !isStepOpen) {
     // Room for one more comes with the next one that leaves.
-    const oneMs = waitMs === undefined ? undefined : waitMs / queued;
+    const perItemMs = waitMs === undefined ? undefined : waitMs / queued;
     return createError('overloaded', undefined, {
-      retryAfterMs: Math.ceil(oneMs ?? DEFAULT_RETRY_AFTER_MS),
+      retryAfterMs: Math.ceil(perItemMs ?? DEFAULT_RETRY_AFTER_MS),
     });
   }
   if (waitMs === undefined) return undefined;
-  const leftMs = deadlineAtMs - nowMs;
-  if (waitMs * WAIT_TRUST[workClass] <= leftMs) return undefined;
+  const remainingMs = deadlineAtMs - nowMs;
+  if (waitMs * REQUIRED_WAIT_SHARE[workClass] <= remainingMs) return undefined;
   return createError('deadline_unreachable', undefined, {
-    retryAfterMs: Math.ceil(waitMs - leftMs),
+    retryAfterMs: Math.ceil(waitMs - remainingMs),
   });
 }
--- a/packages/core/src/scheduling/attempt_table.ts
+++ b/packages/core/src/scheduling/attempt_table.ts
@@ -6,11 +6,11 @@
 import type {Attempt, WorkState} from './work_state.js';
 
 /** An endpoint this many times slower than others is not taken as ordinary. */
-const ODD_SLOWNESS = 1.5;
+const MAX_ORDINARY_SLOWNESS = 1.5;
 /** A suspect has its endpoint to itself for this long, ms. */
 const QUARANTINE_MS = 3000;
 
-const noAttempts: ReadonlySet<Attempt> = new Set();
+const NO_ATTEMPTS: ReadonlySet<Attempt> = new Set();
 
 export class AttemptTable {
   private readonly byEndpoint = new Map<EndpointState, Set<Attempt>>();
@@ -22,11 +22,11 @@
 
   /** Own attempts in flight at an endpoint. */
   listAt(endpoint: EndpointState): ReadonlySet<Attempt> {
-    return this.byEndpoint.get(endpoint) ?? noAttempts;
+    return this.byEndpoint.get(endpoint) ?? NO_ATTEMPTS;
   }
 
   find(workId: string, number: number): Attempt | undefined {
-    const running = this.state.works.get(workId)?.running;
+    const running = this.state.workItems.get(workId)?.running;
     return running?.find(attempt => attempt.number === number);
   }
 
@@ -38,8 +38,8 @@
     const resumedTokens = partial?.tokens ?? 0;
     const attempt = this.open(work, endpoint, number, resumedTokens);
     attempt.oldestVersion = partial?.oldestVersion ?? Infinity;
-    retries.noteStart(work.tenant, endpoint.id);
-    if (number === 1) stragglers.noteStart(work.tenant);
+    retries.recordStart(work.tenant, endpoint.id);
+    if (number === 1) stragglers.recordStart(work.tenant);
     this.state.emit({
       kind: 'start',
       workId: work.item.id,
@@ -74,47 +74,51 @@
     work.phase = 'running';
     work.running.push(attempt);
     work.lastEndpoint = undefined;
-    this.queues.noteStart(work);
-    this.indexAt(endpoint).add(attempt);
+    this.queues.recordStart(work);
+    this.getAttemptsAt(endpoint).add(attempt);
     endpoint.running[item.workClass]++;
     endpoint.pendingPromptTokens += item.promptTokens;
-    if (item.prefixKey !== '') directory.notePrefix(endpoint, item.prefixKey);
+    if (item.prefixKey !== '') directory.recordPrefix(endpoint, item.prefixKey);
     directory.refresh(endpoint, nowMs);
     return attempt;
   }
 
-  noteProgress(attempt: Attempt, tokens: number, weightVersion: number): void {
+  recordProgress(
+    attempt: Attempt,
+    tokens: number,
+    weightVersion: number,
+  ): void {
     const {endpoint} = attempt;
-    this.settlePrompt(attempt);
+    this.clearPendingPrompt(attempt);
     const isFirst = attempt.tokens === attempt.resumedTokens;
     if (!isFirst && tokens > attempt.tokens) {
-      this.noteSpeed(attempt, tokens - attempt.tokens);
+      this.recordSpeed(attempt, tokens - attempt.tokens);
     }
-    this.endQuarantine(attempt);
+    this.endQuarantineIfDue(attempt);
     attempt.tokens = Math.max(attempt.tokens, tokens);
     attempt.progressAtMs = this.state.nowMs;
     if (weightVersion > 0) {
       attempt.oldestVersion = Math.min(attempt.oldestVersion, weightVersion);
-      endpoint.noteWeightVersion(weightVersion, this.state.nowMs);
+      endpoint.recordWeightVersion(weightVersion, this.state.nowMs);
     }
-    const wasSuspected = endpoint.health.suspected;
-    endpoint.health.noteAlive();
-    if (wasSuspected) this.state.noteChanged(endpoint);
+    const wasSuspected = endpoint.health.isSuspected;
+    endpoint.health.recordAlive();
+    if (wasSuspected) this.state.onEndpointChanged(endpoint);
   }
 
   /** The attempt runs no more; what it held is free for others. */
   close(attempt: Attempt): void {
     const {work, endpoint} = attempt;
     work.running = work.running.filter(other => other !== attempt);
-    this.settlePrompt(attempt);
-    this.dropAt(attempt);
-    this.queues.noteEnd(work);
+    this.clearPendingPrompt(attempt);
+    this.removeFromEndpoint(attempt);
+    this.queues.recordEnd(work);
     const group = this.state.groupOf(work);
-    if (group.quarantineRunning.delete(work)) {
+    if (group.runningQuarantined.delete(work)) {
       endpoint.suspect = undefined;
-      endpoint.quarantined = false;
+      endpoint.isQuarantined = false;
     }
-    this.state.noteChanged(endpoint);
+    this.state.onEndpointChanged(endpoint);
     this.state.markDirty(group);
   }
 
@@ -133,36 +137,37 @@
     for (const attempt of [...work.running]) this.stop(attempt);
   }
 
-  private noteSpeed(attempt: Attempt, tokens: number): void {
+  private recordSpeed(attempt: Attempt, tokens: number): void {
     const {endpoint, work} = attempt;
     const elapsedMs = this.state.nowMs - attempt.progressAtMs;
     if (elapsedMs <= 0) return;
-    endpoint.noteSpeed(tokens, elapsedMs);
+    endpoint.recordSpeed(tokens, elapsedMs);
     const {speed} = this.state.groupOf(work);
     const tokenMs = elapsedMs / tokens;
     const streams = endpoint.totalInFlight;
-    endpoint.noteSlowness(tokenMs / speed.predictMs(streams), elapsedMs);
+    endpoint.recordSlowness(tokenMs / speed.predictMs(streams), elapsedMs);
     // Endpoints that are out of the ordinary say nothing of the others.
-    if (endpoint.slowness < ODD_SLOWNESS) speed.note(streams, tokenMs);
+    if (endpoint.slowness < MAX_ORDINARY_SLOWNESS)
+      speed.record(streams, tokenMs);
   }
 
   /** A suspect that shows output doesn't crash at once: others may join it. */
-  private endQuarantine(attempt: Attempt): void {
+  private endQuarantineIfDue(attempt: Attempt): void {
     const {endpoint, work} = attempt;
-    if (!endpoint.quarantined) return;
+    if (!endpoint.isQuarantined) return;
     if (endpoint.suspect?.workId !== work.item.id) return;
     if (this.state.nowMs - attempt.startedAtMs < QUARANTINE_MS) return;
-    endpoint.quarantined = false;
-    this.state.noteChanged(endpoint);
+    endpoint.isQuarantined = false;
+    this.state.onEndpointChanged(endpoint);
   }
 
-  private settlePrompt(attempt: Attempt): void {
+  private clearPendingPrompt(attempt: Attempt): void {
     if (!attempt.isPromptPending) return;
     attempt.isPromptPending = false;
     attempt.endpoint.pendingPromptTokens -= attempt.work.item.promptTokens;
   }
 
-  private indexAt(endpoint: EndpointState): Set<Attempt> {
+  private getAttemptsAt(endpoint: EndpointState): Set<Attempt> {
     let attempts = this.byEndpoint.get(endpoint);
     if (!attempts) {
       attempts = new Set();
@@ -171,7 +176,7 @@
     return attempts;
   }
 
-  private dropAt(attempt: Attempt): void {
+  private removeFromEndpoint(attempt: Attempt): void {
     const {endpoint, work} = attempt;
     const attempts = this.byEndpoint.get(endpoint);
     if (!attempts?.delete(attempt)) return;
--- a/packages/core/src/scheduling/batch_target.ts
+++ b/packages/core/src/scheduling/batch_target.ts
@@ -7,7 +7,7 @@
  */
 
 /** What a step has left to generate. */
-export interface OpenWork {
+export interface RemainingWork {
   /** Expected tokens of all its works, queued and running. */
   readonly tokens: number;
   /** Expected tokens of the one that takes longest from now. */
@@ -17,12 +17,15 @@
 /** Streams beyond the ideal, as lengths are only expected and don't pack tightly. */
 const SLACK = 2;
 /** Streams on each endpoint that slow one another too little to be held back. */
-const FREE_STREAMS_PER_ENDPOINT = 9;
+const UNRESTRICTED_STREAMS_PER_ENDPOINT = 9;
 
 /** The number of streams at which the step is expected to be whole first. */
-export function computeBatchTarget(work: OpenWork, endpoints: number): number {
-  const free = Math.max(1, endpoints) * FREE_STREAMS_PER_ENDPOINT;
-  if (work.longestTokens <= 0) return free;
-  const ideal = work.tokens / work.longestTokens;
-  return Math.max(free, Math.ceil(ideal * SLACK));
+export function computeBatchTarget(
+  remaining: RemainingWork,
+  endpoints: number,
+): number {
+  const minimum = Math.max(1, endpoints) * UNRESTRICTED_STREAMS_PER_ENDPOINT;
+  if (remaining.longestTokens <= 0) return minimum;
+  const ideal = remaining.tokens / remaining.longestTokens;
+  return Math.max(minimum, Math.ceil(ideal * SLACK));
 }
--- a/packages/core/src/scheduling/binary_heap.ts
+++ b/packages/core/src/scheduling/binary_heap.ts
@@ -31,18 +31,18 @@
     const {items} = this;
     const first = items[0];
     const last = items.pop();
-    if (items.length > 0) this.sink(last!);
+    if (items.length > 0) this.siftDown(last!);
     return first;
   }
 
   /** Drops all items for which `keep` is false. */
   retain(keep: (item: T) => boolean): void {
-    const kept = this.items.filter(keep);
+    const retained = this.items.filter(keep);
     this.items.length = 0;
-    for (const item of kept) this.push(item);
+    for (const item of retained) this.push(item);
   }
 
-  private sink(item: T): void {
+  private siftDown(item: T): void {
     const {items} = this;
     const size = items.length;
     let index = 0;
--- a/packages/core/src/scheduling/concurrency_limit.ts
+++ b/packages/core/src/scheduling/concurrency_limit.ts
@@ -10,15 +10,15 @@
 const MIN_LIMIT = 1;
 const MAX_LIMIT = 1024;
 /** Part of the limit in use from which on it may grow. */
-const GROW_FROM_USE = 0.8;
-const GROWTH = 1.15;
-const REJECTION_CUT = 0.7;
+const GROWTH_MIN_UTILIZATION = 0.8;
+const GROWTH_FACTOR = 1.15;
+const REJECTION_FACTOR = 0.7;
 /** Part by which a batch may differ between two reports and count as the same. */
-const SAME_BATCH_PART = 0.05;
+const SAME_BATCH_TOLERANCE = 0.05;
 /** How long a limit that was found is believed before more is tried. */
-const CEILING_KEPT_MS = 10_000;
+const CEILING_VALID_MS = 10_000;
 /** How much more is tried then. */
-const CEILING_RAISE = 1.1;
+const CEILING_RAISE_FACTOR = 1.1;
 
 /**
  * Adapts one endpoint's limit. Engines admit all that comes: what they can't run
@@ -31,17 +31,17 @@
   /** What the endpoint was seen to run while more waited. */
   private ceiling = MAX_LIMIT;
   private ceilingAtMs = 0;
-  private last?: LoadReport;
+  private lastReport?: LoadReport;
 
   get limit(): number {
     return Math.max(MIN_LIMIT, Math.floor(this.value));
   }
 
-  noteReport(report: LoadReport): void {
+  recordReport(report: LoadReport): void {
     const {running, measuredAtMs} = report;
-    const before = this.last;
-    this.last = report;
-    if (before && isSaturated(before, report)) {
+    const previous = this.lastReport;
+    this.lastReport = report;
+    if (previous && isSaturated(previous, report)) {
       // Growing past this again and again would make interactive requests wait
       // inside the endpoint each time.
       this.ceiling = running;
@@ -49,20 +49,23 @@
       this.value = clamp(Math.min(this.value, running));
       return;
     }
-    if (measuredAtMs - this.ceilingAtMs > CEILING_KEPT_MS) {
-      this.ceiling = clamp(Math.ceil(this.ceiling * CEILING_RAISE));
+    if (measuredAtMs - this.ceilingAtMs > CEILING_VALID_MS) {
+      this.ceiling = clamp(Math.ceil(this.ceiling * CEILING_RAISE_FACTOR));
       this.ceilingAtMs = measuredAtMs;
     }
     // A report from before the endpoint refused work knows nothing of it.
     if (measuredAtMs <= this.rejectedAtMs) return;
-    if (running >= this.value * GROW_FROM_USE) {
-      this.value = Math.min(this.ceiling, clamp(this.value * GROWTH + 1));
+    if (running >= this.value * GROWTH_MIN_UTILIZATION) {
+      this.value = Math.min(
+        this.ceiling,
+        clamp(this.value * GROWTH_FACTOR + 1),
+      );
     }
   }
 
-  noteRejected(nowMs: number): void {
+  recordRejection(nowMs: number): void {
     this.rejectedAtMs = nowMs;
-    this.value = clamp(this.value * REJECTION_CUT);
+    this.value = clamp(this.value * REJECTION_FACTOR);
   }
 }
 
@@ -72,11 +75,13 @@
  * saturation would fall to whatever runs. So something has to wait in two
  * reports, with the batch no larger in the later one.
  */
-function isSaturated(before: LoadReport, now: LoadReport): boolean {
-  const isWaiting = before.waiting > 0 && now.waiting > 0;
-  const change = Math.abs(now.running - before.running);
+function isSaturated(previous: LoadReport, current: LoadReport): boolean {
+  const isWaiting = previous.waiting > 0 && current.waiting > 0;
+  const change = Math.abs(current.running - previous.running);
   return (
-    isWaiting && now.running > 0 && change <= now.running * SAME_BATCH_PART
+    isWaiting &&
+    current.running > 0 &&
+    change <= current.running * SAME_BATCH_TOLERANCE
   );
 }
 
@@ -96,22 +101,26 @@
   demands: readonly number[],
   offset: number,
 ): readonly number[] {
-  const parts = demands.map(() => 0);
-  let rest = limit;
-  let open = demands.map((_, index) => index).filter(i => demands[i] > 0);
-  while (rest > 0 && open.length > 0) {
-    const each = Math.floor(rest / open.length);
+  const shares = demands.map(() => 0);
+  let remaining = limit;
+  let unsatisfied = demands
+    .map((_, index) => index)
+    .filter(i => demands[i] > 0);
+  while (remaining > 0 && unsatisfied.length > 0) {
+    const each = Math.floor(remaining / unsatisfied.length);
     if (each === 0) break;
-    for (const index of open) {
-      const part = Math.min(each, demands[index] - parts[index]);
-      parts[index] += part;
-      rest -= part;
+    for (const index of unsatisfied) {
+      const share = Math.min(each, demands[index] - shares[index]);
+      shares[index] += share;
+      remaining -= share;
     }
-    open = open.filter(index => parts[index] < demands[index]);
+    unsatisfied = unsatisfied.filter(index => shares[index] < demands[index]);
   }
-  const start = open.findIndex(index => index >= offset % demands.length);
-  for (let i = 0; i < open.length && rest > 0; i++, rest--) {
-    parts[open[(Math.max(0, start) + i) % open.length]]++;
+  const start = unsatisfied.findIndex(
+    index => index >= offset % demands.length,
+  );
+  for (let i = 0; i < unsatisfied.length && remaining > 0; i++, remaining--) {
+    shares[unsatisfied[(Math.max(0, start) + i) % unsatisfied.length]]++;
   }
-  return parts;
+  return shares;
 }
--- a/packages/core/src/scheduling/crash_tracker.ts
+++ b/packages/core/src/scheduling/crash_tracker.ts
@@ -20,78 +20,85 @@
    * Takes the end of an attempt, before the attempt is closed; `here` is all
    * that runs on the same endpoint, the attempt included.
    */
-  noteFailure(
+  recordFailure(
     attempt: Attempt,
-    here: Iterable<Attempt>,
+    endpointAttempts: Iterable<Attempt>,
     failure: FailureKind,
     nowMs: number,
   ): CrashReport | undefined {
     switch (failure) {
       case 'crashed':
-        return this.noteCrash(attempt, here, nowMs);
+        return this.recordCrash(attempt, endpointAttempts, nowMs);
       case 'connection_lost':
-        return this.noteLostConnection(attempt, here, nowMs);
+        return this.recordLostConnection(attempt, endpointAttempts, nowMs);
       case 'connect_failed':
-        return this.noteRefusal(attempt.endpoint, nowMs);
+        return this.recordRefusedConnection(attempt.endpoint, nowMs);
       default:
         return undefined;
     }
   }
 
   /** Counts a crash once, with all that ran there then. */
-  private noteCrash(
+  private recordCrash(
     attempt: Attempt,
-    here: Iterable<Attempt>,
+    endpointAttempts: Iterable<Attempt>,
     nowMs: number,
   ): CrashReport | undefined {
     if (attempt.isCrashCounted) return undefined;
     const {endpoint} = attempt;
-    const running: string[] = [];
-    for (const other of here) {
+    const fingerprints: string[] = [];
+    for (const other of endpointAttempts) {
       if (other.isCrashCounted) continue;
       other.isCrashCounted = true;
-      running.push(other.work.item.fingerprint);
+      fingerprints.push(other.work.item.fingerprint);
     }
-    const accused = endpoint.quarantined
+    const isolated = endpoint.isQuarantined
       ? endpoint.suspect?.fingerprint
       : undefined;
-    return this.report(endpoint, accused ? [accused] : running, nowMs, accused);
+    return this.report(
+      endpoint,
+      isolated ? [isolated] : fingerprints,
+      nowMs,
+      isolated,
+    );
   }
 
   /**
    * A crash of a plain service shows as broken connections, and as a refused
    * one when it is tried again. Neither alone tells of a crash.
    */
-  private noteLostConnection(
+  private recordLostConnection(
     attempt: Attempt,
-    here: Iterable<Attempt>,
+    endpointAttempts: Iterable<Attempt>,
     nowMs: number,
   ): CrashReport | undefined {
     const {endpoint, work} = attempt;
     const isSuspect = endpoint.suspect?.workId === work.item.id;
-    if (endpoint.quarantined && isSuspect) {
-      return this.noteCrash(attempt, here, nowMs);
+    if (endpoint.isQuarantined && isSuspect) {
+      return this.recordCrash(attempt, endpointAttempts, nowMs);
     }
-    endpoint.noteLost(work.item.fingerprint, nowMs);
+    endpoint.recordLostConnection(work.item.fingerprint, nowMs);
     return undefined;
   }
 
-  private noteRefusal(
+  private recordRefusedConnection(
     endpoint: EndpointState,
     nowMs: number,
   ): CrashReport | undefined {
-    const lost = endpoint.takeLost(nowMs);
-    return lost.length > 0 ? this.report(endpoint, lost, nowMs) : undefined;
+    const fingerprints = endpoint.takeLostConnections(nowMs);
+    return fingerprints.length > 0
+      ? this.report(endpoint, fingerprints, nowMs)
+      : undefined;
   }
 
   private report(
     endpoint: EndpointState,
     fingerprints: readonly string[],
     nowMs: number,
-    accused?: string,
+    isolated?: string,
   ): CrashReport {
-    endpoint.forgetCache();
-    this.suspects.noteCrash(fingerprints, nowMs, accused);
+    endpoint.invalidateCache();
+    this.suspects.recordCrash(fingerprints, nowMs, isolated);
     return {endpoint: endpoint.id, fingerprints};
   }
 }
--- a/packages/core/src/scheduling/drain_rate.ts
+++ b/packages/core/src/scheduling/drain_rate.ts
@@ -8,21 +8,21 @@
 export class DrainRate {
   private cost = 0;
   private busyMs = 0;
-  private seenAtMs = 0;
+  private recordedAtMs = 0;
   private wasBacklogged = false;
 
   /**
    * Notes the queue's state after some event. A quiet queue drains slowly for
    * want of work; counting that time would refuse the next burst for nothing.
    */
-  note(nowMs: number, drainedCost: number, isBacklogged: boolean): void {
+  record(nowMs: number, drainedCost: number, isBacklogged: boolean): void {
     if (this.wasBacklogged) {
-      const elapsedMs = Math.max(0, nowMs - this.seenAtMs);
-      const keep = Math.exp(-elapsedMs / MEMORY_MS);
-      this.cost = this.cost * keep + drainedCost;
-      this.busyMs = this.busyMs * keep + elapsedMs;
+      const elapsedMs = Math.max(0, nowMs - this.recordedAtMs);
+      const decay = Math.exp(-elapsedMs / MEMORY_MS);
+      this.cost = this.cost * decay + drainedCost;
+      this.busyMs = this.busyMs * decay + elapsedMs;
     }
-    this.seenAtMs = nowMs;
+    this.recordedAtMs = nowMs;
     this.wasBacklogged = isBacklogged;
   }
 
--- a/packages/core/src/scheduling/endpoint_directory.ts
+++ b/packages/core/src/scheduling/endpoint_directory.ts
@@ -22,7 +22,7 @@
     interactive: new FairQueue<WorkState>(),
     rollout: new FairQueue<WorkState>(),
   };
-  readonly drains: Readonly<Record<WorkClass, DrainRate>> = {
+  readonly drainRates: Readonly<Record<WorkClass, DrainRate>> = {
     interactive: new DrainRate(),
     rollout: new DrainRate(),
   };
@@ -30,7 +30,7 @@
   parked: WorkState[] = [];
   /** Works under suspicion that wait for their turn to run alone. */
   quarantined: WorkState[] = [];
-  readonly quarantineRunning = new Set<WorkState>();
+  readonly runningQuarantined = new Set<WorkState>();
   /** Whether rollouts wait for the next tick before they start. */
   isGathering = false;
 
@@ -42,18 +42,18 @@
 export class EndpointDirectory {
   readonly groups = new Map<string, EndpointGroup>();
   readonly endpoints = new Map<EndpointId, EndpointState>();
-  view: VmView;
+  vmView: VmView;
   private namedGroups: readonly NamedGroup[] = [];
   private readonly memberships = new Map<EndpointState, Set<EndpointGroup>>();
   private readonly peerEndpoints = new Map<VmId, ReadonlySet<EndpointId>>();
   /** Endpoints whose backoff ends with time alone. */
-  private readonly suspected = new Set<EndpointState>();
+  private readonly suspectedEndpoints = new Set<EndpointState>();
 
   constructor(
     self: VmId,
     private readonly random: RandomBits,
   ) {
-    this.view = {self, vms: [self]};
+    this.vmView = {self, vms: [self]};
   }
 
   getGroup(name: string): EndpointGroup {
@@ -88,64 +88,65 @@
     for (const info of infos) this.setEndpoint(info, nowMs);
   }
 
-  noteReport(report: LoadReport, nowMs: number): EndpointState | undefined {
+  recordReport(report: LoadReport, nowMs: number): EndpointState | undefined {
     const endpoint = this.endpoints.get(report.endpoint);
-    if (!endpoint?.noteReport(report)) return undefined;
+    if (!endpoint?.recordReport(report)) return undefined;
     this.refresh(endpoint, nowMs);
     return endpoint;
   }
 
   setVms(vms: readonly VmId[], nowMs: number): void {
-    const self = this.view.self;
-    this.view = {self, vms: vms.includes(self) ? vms : [...vms, self]};
+    const self = this.vmView.self;
+    this.vmView = {self, vms: vms.includes(self) ? vms : [...vms, self]};
     for (const endpoint of this.endpoints.values()) {
       endpoint.retainPeers(vms);
       this.refresh(endpoint, nowMs);
     }
   }
 
-  notePeer(
+  recordPeerLoad(
     vm: VmId,
     inFlight: ReadonlyMap<EndpointId, number>,
     nowMs: number,
   ): void {
-    if (vm === this.view.self) return;
+    if (vm === this.vmView.self) return;
     for (const id of this.peerEndpoints.get(vm) ?? []) {
-      if (!inFlight.has(id)) this.notePeerAt(vm, id, 0, nowMs);
+      if (!inFlight.has(id)) this.recordPeerLoadAt(vm, id, 0, nowMs);
     }
-    for (const [id, count] of inFlight) this.notePeerAt(vm, id, count, nowMs);
+    for (const [id, count] of inFlight)
+      this.recordPeerLoadAt(vm, id, count, nowMs);
     this.peerEndpoints.set(vm, new Set(inFlight.keys()));
   }
 
-  noteCache(id: EndpointId, prefixKey: string, cached: boolean): void {
+  recordCache(id: EndpointId, prefixKey: string, cached: boolean): void {
     const endpoint = this.endpoints.get(id);
     if (!endpoint) return;
-    if (cached) return this.notePrefix(endpoint, prefixKey);
+    if (cached) return this.recordPrefix(endpoint, prefixKey);
     for (const group of this.groupsOf(endpoint)) {
-      group.pool.prefixes.drop(prefixKey, endpoint);
+      group.pool.prefixes.remove(prefixKey, endpoint);
     }
   }
 
   /** The endpoint holds the prefix, or will once it has read the prompt. */
-  notePrefix(endpoint: EndpointState, prefixKey: string): void {
+  recordPrefix(endpoint: EndpointState, prefixKey: string): void {
     for (const group of this.groupsOf(endpoint)) {
-      group.pool.prefixes.note(prefixKey, endpoint);
+      group.pool.prefixes.record(prefixKey, endpoint);
     }
   }
 
   /** To be called after anything about the endpoint changed. */
   refresh(endpoint: EndpointState, nowMs: number): void {
     if (this.endpoints.get(endpoint.id) !== endpoint) return;
-    if (endpoint.health.suspected) this.suspected.add(endpoint);
-    else this.suspected.delete(endpoint);
+    if (endpoint.health.isSuspected) this.suspectedEndpoints.add(endpoint);
+    else this.suspectedEndpoints.delete(endpoint);
     for (const group of this.groupsOf(endpoint)) {
-      group.pool.refresh(endpoint, this.view, nowMs);
+      group.pool.refresh(endpoint, this.vmView, nowMs);
     }
   }
 
   /** Looks again at the endpoints that come back with time. */
   refreshSuspected(nowMs: number): readonly EndpointState[] {
-    const endpoints = [...this.suspected];
+    const endpoints = [...this.suspectedEndpoints];
     for (const endpoint of endpoints) this.refresh(endpoint, nowMs);
     return endpoints;
   }
@@ -157,14 +158,14 @@
       this.endpoints.set(info.id, endpoint);
     }
     endpoint.info = info;
-    endpoint.health.noteListed(info);
+    endpoint.health.recordListed(info);
     this.updateMembership(endpoint);
     this.refresh(endpoint, nowMs);
   }
 
   private removeEndpoint(endpoint: EndpointState): void {
     this.endpoints.delete(endpoint.id);
-    this.suspected.delete(endpoint);
+    this.suspectedEndpoints.delete(endpoint);
     for (const group of this.groupsOf(endpoint)) group.pool.remove(endpoint);
     this.memberships.delete(endpoint);
   }
@@ -183,7 +184,7 @@
     this.memberships.set(endpoint, groups);
   }
 
-  private notePeerAt(
+  private recordPeerLoadAt(
     vm: VmId,
     id: EndpointId,
     count: number,
@@ -191,7 +192,7 @@
   ): void {
     const endpoint = this.endpoints.get(id);
     if (!endpoint) return;
-    endpoint.notePeer(vm, count);
+    endpoint.recordPeerLoad(vm, count);
     this.refresh(endpoint, nowMs);
   }
 }
--- a/packages/core/src/scheduling/endpoint_health.ts
+++ b/packages/core/src/scheduling/endpoint_health.ts
@@ -10,11 +10,11 @@
 const FIRST_BACKOFF_MS = 500;
 const MAX_BACKOFF_MS = 10_000;
 /** Silent connections in a row, with nothing heard between, that count as failure. */
-const SILENT_TO_SUSPECT = 3;
+const SILENCES_TO_SUSPECT = 3;
 
 export class EndpointHealth {
-  private listedLeaving = false;
-  private reportedLeaving = false;
+  private isListedLeaving = false;
+  private isReportedLeaving = false;
   private reportedAtMs = 0;
   private failures = 0;
   private silences = 0;
@@ -26,35 +26,35 @@
    * as live for seconds and would get work that it can't finish. Each source
    * is therefore kept on its own, and either one suffices.
    */
-  noteListed(info: EndpointInfo): void {
-    this.listedLeaving = info.state === 'leaving';
+  recordListed(info: EndpointInfo): void {
+    this.isListedLeaving = info.state === 'leaving';
   }
 
   /** Returns whether the report is news; reports can come out of order. */
-  noteReport(report: LoadReport): boolean {
+  recordReport(report: LoadReport): boolean {
     if (report.measuredAtMs < this.reportedAtMs) return false;
     this.reportedAtMs = report.measuredAtMs;
-    this.reportedLeaving = report.leaving;
-    if (report.measuredAtMs > this.failedAtMs) this.noteAlive();
+    this.isReportedLeaving = report.leaving;
+    if (report.measuredAtMs > this.failedAtMs) this.recordAlive();
     return true;
   }
 
   /** Output or an answer came: the endpoint lives. */
-  noteAlive(): void {
+  recordAlive(): void {
     this.failures = 0;
     this.silences = 0;
     this.retryAtMs = 0;
   }
 
-  noteFailure(failure: FailureKind, nowMs: number): void {
+  recordFailure(failure: FailureKind, nowMs: number): void {
     if (failure === 'silent') {
       // A connection can go silent for good while new ones work. It shows as
       // one attempt without progress on an endpoint that others hear from, so
       // one silence says nothing of the endpoint; several with nothing heard
       // between them do.
       this.silences++;
-      if (this.silences < SILENT_TO_SUSPECT) return;
-    } else if (!isEndpointsFault(failure)) {
+      if (this.silences < SILENCES_TO_SUSPECT) return;
+    } else if (!isEndpointFailure(failure)) {
       return;
     }
     if (nowMs < this.retryAtMs) return;
@@ -64,23 +64,23 @@
     this.retryAtMs = nowMs + Math.min(MAX_BACKOFF_MS, backoffMs);
   }
 
-  get leaving(): boolean {
-    return this.listedLeaving || this.reportedLeaving;
+  get isLeaving(): boolean {
+    return this.isListedLeaving || this.isReportedLeaving;
   }
 
   /** Failed lately; at most one probe at a time may go there once due. */
-  get suspected(): boolean {
+  get isSuspected(): boolean {
     return this.failures > 0;
   }
 
   /** Whether new work may go there. */
   isUsable(nowMs: number): boolean {
-    return !this.leaving && nowMs >= this.retryAtMs;
+    return !this.isLeaving && nowMs >= this.retryAtMs;
   }
 }
 
 /** Whether the failure speaks against the endpoint rather than the request. */
-function isEndpointsFault(failure: FailureKind): boolean {
+function isEndpointFailure(failure: FailureKind): boolean {
   return (
     failure === 'crashed' ||
     failure === 'connect_failed' ||
--- a/packages/core/src/scheduling/endpoint_pool.ts
+++ b/packages/core/src/scheduling/endpoint_pool.ts
@@ -7,7 +7,7 @@
 import type {EndpointId} from '@radishyoke/shared/ids';
 import type {EndpointState, VmView} from './endpoint_state.js';
 import {scoreEndpoint, ScoredWork, ScoreView} from './endpoint_score.js';
-import {DrawSet} from './draw_set.js';
+import {RandomSet} from './random_set.js';
 import {PrefixIndex} from './prefix_index.js';
 import type {RandomBits} from './random_bits.js';
 import type {WorkClass} from './scheduler.js';
@@ -17,14 +17,14 @@
  * would otherwise all send to the one endpoint that looked idle, until the next
  * report shows it as the fullest of all.
  */
-const DRAWN_CANDIDATES = 3;
+const RANDOM_CANDIDATES = 3;
 /** Interactive requests, which are few, compare all of up to this many. */
-const ALL_COMPARED = 6;
+const MAX_COMPARED_EXHAUSTIVELY = 6;
 /** Draws after which a crowded group counts as full. */
-const MAX_DRAWS = 12;
+const MAX_RANDOM_PICKS = 12;
 
 /** What a choice depends on besides the endpoints. */
-export interface Choice extends ScoredWork {
+export interface EndpointRequirements extends ScoredWork {
   readonly workClass: WorkClass;
   readonly minWeightVersion: number;
   /** Model that has to be served; absent for any. */
@@ -42,9 +42,9 @@
   readonly prefixes = new PrefixIndex();
   newestVersion = 0;
   /** May get work at all. */
-  private readonly usable = new DrawSet<EndpointState>();
+  private readonly usable = new RandomSet<EndpointState>();
   /** Have room for one more rollout. */
-  private readonly open = new DrawSet<EndpointState>();
+  private readonly withRolloutRoom = new RandomSet<EndpointState>();
 
   constructor(private readonly random: RandomBits) {}
 
@@ -54,16 +54,16 @@
 
   remove(endpoint: EndpointState): void {
     this.endpoints.delete(endpoint.id);
-    this.usable.set(endpoint, false);
-    this.open.set(endpoint, false);
+    this.usable.setMember(endpoint, false);
+    this.withRolloutRoom.setMember(endpoint, false);
   }
 
   /** Brings the index up to date after anything changed at the endpoint. */
-  refresh(endpoint: EndpointState, view: VmView, nowMs: number): void {
+  refresh(endpoint: EndpointState, vmView: VmView, nowMs: number): void {
     const isUsable = this.isUsable(endpoint, nowMs);
-    const isOpen = isUsable && endpoint.hasRoomFor('rollout', view);
-    this.usable.set(endpoint, isUsable);
-    this.open.set(endpoint, isOpen);
+    const hasRoom = isUsable && endpoint.hasRoomFor('rollout', vmView);
+    this.usable.setMember(endpoint, isUsable);
+    this.withRolloutRoom.setMember(endpoint, hasRoom);
     this.newestVersion = Math.max(this.newestVersion, endpoint.weightVersion);
   }
 
@@ -75,27 +75,30 @@
     return this.usable.size;
   }
 
-  get hasOpen(): boolean {
-    return this.open.size > 0;
+  get hasRolloutRoom(): boolean {
+    return this.withRolloutRoom.size > 0;
   }
 
   /** The best of a few candidates, or undefined when none has room. */
   choose(
-    choice: Choice,
-    vms: VmView,
-    view: ScoreView,
+    requirements: EndpointRequirements,
+    vmView: VmView,
+    scoreView: ScoreView,
   ): EndpointState | undefined {
-    const set = choice.workClass === 'rollout' ? this.open : this.usable;
+    const set =
+      requirements.workClass === 'rollout' ? this.withRolloutRoom : this.usable;
     if (set.size === 0) return undefined;
     const holders =
-      choice.prefixKey === '' ? [] : this.prefixes.find(choice.prefixKey);
+      requirements.prefixKey === ''
+        ? []
+        : this.prefixes.find(requirements.prefixKey);
     let best: EndpointState | undefined;
     let bestScore = Infinity;
     const consider = (endpoint: EndpointState): boolean => {
-      if (!isEligible(endpoint, choice, vms)) return false;
+      if (!isEligible(endpoint, requirements, vmView)) return false;
       const isCached = holders.includes(endpoint);
-      let score = scoreEndpoint(endpoint, choice, isCached, view);
-      if (endpoint.id === choice.avoid) score += AVOIDED_COST_MS;
+      let score = scoreEndpoint(endpoint, requirements, isCached, scoreView);
+      if (endpoint.id === requirements.avoid) score += AVOIDED_PENALTY_MS;
       if (score < bestScore) {
         best = endpoint;
         bestScore = score;
@@ -103,7 +106,8 @@
       return true;
     };
     const isFew =
-      choice.workClass === 'interactive' && set.size <= ALL_COMPARED;
+      requirements.workClass === 'interactive' &&
+      set.size <= MAX_COMPARED_EXHAUSTIVELY;
     if (isFew) {
       set.list().forEach(consider);
       return best;
@@ -111,9 +115,13 @@
     for (const endpoint of holders) {
       if (set.has(endpoint)) consider(endpoint);
     }
-    let drawn = 0;
-    for (let i = 0; i < MAX_DRAWS && drawn < DRAWN_CANDIDATES; i++) {
-      if (consider(set.draw(this.random))) drawn++;
+    let considered = 0;
+    for (
+      let i = 0;
+      i < MAX_RANDOM_PICKS && considered < RANDOM_CANDIDATES;
+      i++
+    ) {
+      if (consider(set.pickRandom(this.random))) considered++;
     }
     return best;
   }
@@ -121,23 +129,23 @@
   private isUsable(endpoint: EndpointState, nowMs: number): boolean {
     if (!endpoint.health.isUsable(nowMs)) return false;
     // After a failure one probe at a time, until something is heard.
-    return !endpoint.health.suspected || endpoint.inFlight === 0;
+    return !endpoint.health.isSuspected || endpoint.inFlight === 0;
   }
 }
 
 /** What an endpoint that failed this very work counts as worse by. */
-const AVOIDED_COST_MS = 60_000;
+const AVOIDED_PENALTY_MS = 60_000;
 
 function isEligible(
   endpoint: EndpointState,
-  choice: Choice,
-  vms: VmView,
+  requirements: EndpointRequirements,
+  vmView: VmView,
 ): boolean {
-  if (choice.isSuspect && endpoint.suspect) return false;
+  if (requirements.isSuspect && endpoint.suspect) return false;
   const {model} = endpoint.info;
-  if (choice.model && model && choice.model !== model) return false;
+  if (requirements.model && model && requirements.model !== model) return false;
   return (
-    endpoint.weightVersion >= choice.minWeightVersion &&
-    endpoint.hasRoomFor(choice.workClass, vms)
+    endpoint.weightVersion >= requirements.minWeightVersion &&
+    endpoint.hasRoomFor(requirements.workClass, vmView)
   );
 }
--- a/packages/core/src/scheduling/endpoint_score.ts
+++ b/packages/core/src/scheduling/endpoint_score.ts
@@ -14,7 +14,7 @@
 /** Added by another data centre, there and back. */
 const OTHER_DATA_CENTRE_MS = 3;
 /** A report says nothing of the present after this long. */
-const REPORT_FORGOTTEN_AFTER_MS = 5000;
+const MAX_REPORT_AGE_MS = 5000;
 /** Ms of expected time that each version behind the newest counts for. */
 const VERSION_LAG_COST_MS = 2000;
 /** Slow-down of a stream by a full endpoint, relative to an empty one. */
@@ -66,10 +66,10 @@
   const inFlight = estimateInFlight(endpoint, view.nowMs);
   const {limit} = endpoint.limit;
   // Beyond its limit the endpoint queues, and the batch grows no further.
-  const queueing = Math.max(1, (inFlight + 1) / limit);
+  const queueingFactor = Math.max(1, (inFlight + 1) / limit);
   if (view.speed) {
     const streams = Math.min(limit, inFlight + 1);
-    return view.speed.predictMs(streams) * endpoint.slowness * queueing;
+    return view.speed.predictMs(streams) * endpoint.slowness * queueingFactor;
   }
   const speed = endpoint.streamSpeed || ASSUMED_STREAM_SPEED;
   return (1e3 / speed) * (1 + (LOAD_SLOWDOWN * inFlight) / limit);
@@ -77,16 +77,16 @@
 
 /** Own and peers' work, and what a report adds. */
 function estimateInFlight(endpoint: EndpointState, nowMs: number): number {
-  const known = endpoint.totalInFlight;
+  const tracked = endpoint.totalInFlight;
   const {report} = endpoint;
-  let inFlight = known;
+  let inFlight = tracked;
   if (report) {
     // The report counts what nobody told us of, but it is old: its surplus
     // over what is known fades with its age.
     const ageMs = Math.max(0, nowMs - report.measuredAtMs);
-    const trust = Math.max(0, 1 - ageMs / REPORT_FORGOTTEN_AFTER_MS);
-    const surplus = report.running + report.waiting - known;
-    inFlight += Math.max(0, surplus) * trust;
+    const weight = Math.max(0, 1 - ageMs / MAX_REPORT_AGE_MS);
+    const untracked = report.running + report.waiting - tracked;
+    inFlight += Math.max(0, untracked) * weight;
   }
   return inFlight;
 }
@@ -96,10 +96,10 @@
   ownTokens: number,
   nowMs: number,
 ): number {
-  let waiting = endpoint.pendingPromptTokens;
+  let pendingTokens = endpoint.pendingPromptTokens;
   const {report} = endpoint;
-  if (report && nowMs - report.measuredAtMs < REPORT_FORGOTTEN_AFTER_MS) {
-    waiting = Math.max(waiting, report.waitingPromptTokens);
+  if (report && nowMs - report.measuredAtMs < MAX_REPORT_AGE_MS) {
+    pendingTokens = Math.max(pendingTokens, report.waitingPromptTokens);
   }
-  return ((ownTokens + waiting) / PREFILL_TOKENS_PER_SECOND) * 1e3;
+  return ((ownTokens + pendingTokens) / PREFILL_TOKENS_PER_SECOND) * 1e3;
 }
--- a/packages/core/src/scheduling/endpoint_state.ts
+++ b/packages/core/src/scheduling/endpoint_state.ts
@@ -9,9 +9,9 @@
 /** Part of an endpoint's limit that rollouts leave to interactive requests. */
 const INTERACTIVE_RESERVE = 0.1;
 /** A broken and a refused connection within this time make a crash; tries are up to 10 s apart. */
-const LOST_KEPT_MS = 15_000;
+const LOST_CONNECTION_WINDOW_MS = 15_000;
 /** Weight of the newest ms of a stream in the speed estimate. */
-const SPEED_MEMORY_STREAM_MS = 5000;
+const SPEED_DECAY_MS = 5000;
 
 /** The VMs that share the endpoints, as the owner of the state sees them. */
 export interface VmView {
@@ -39,13 +39,15 @@
   /** The suspect that runs here; no other suspect goes there. */
   suspect?: RunningSuspect;
   /** Whether nothing at all goes there, as the suspect has yet to show output. */
-  quarantined = false;
+  isQuarantined = false;
   private readonly peers = new Map<VmId, number>();
   private peerTotal = 0;
-  private epoch = 0;
-  private lost: Array<{readonly fingerprint: string; readonly atMs: number}> =
-    [];
-  private versionSeenAtMs = 0;
+  private invalidations = 0;
+  private lostConnections: Array<{
+    readonly fingerprint: string;
+    readonly atMs: number;
+  }> = [];
+  private versionObservedAtMs = 0;
   private slownessMean = 1;
   private streamMs = 0;
   private streamTokens = 0;
@@ -75,22 +77,22 @@
     return this.slownessMean;
   }
 
-  noteSlowness(ratio: number, elapsedMs: number): void {
-    const weight = 1 - Math.exp(-elapsedMs / SPEED_MEMORY_STREAM_MS);
+  recordSlowness(ratio: number, elapsedMs: number): void {
+    const weight = 1 - Math.exp(-elapsedMs / SPEED_DECAY_MS);
     this.slownessMean += weight * (ratio - this.slownessMean);
   }
 
-  noteSpeed(tokens: number, elapsedMs: number): void {
-    const keep = Math.exp(-elapsedMs / SPEED_MEMORY_STREAM_MS);
-    this.streamTokens = this.streamTokens * keep + tokens;
-    this.streamMs = this.streamMs * keep + elapsedMs;
+  recordSpeed(tokens: number, elapsedMs: number): void {
+    const decay = Math.exp(-elapsedMs / SPEED_DECAY_MS);
+    this.streamTokens = this.streamTokens * decay + tokens;
+    this.streamMs = this.streamMs * decay + elapsedMs;
   }
 
-  noteReport(report: LoadReport): boolean {
-    if (!this.health.noteReport(report)) return false;
+  recordReport(report: LoadReport): boolean {
+    if (!this.health.recordReport(report)) return false;
     this.report = report;
-    this.limit.noteReport(report);
-    this.noteWeightVersion(report.weightVersion, report.measuredAtMs);
+    this.limit.recordReport(report);
+    this.recordWeightVersion(report.weightVersion, report.measuredAtMs);
     this.isAllowanceStale = true;
     return true;
   }
@@ -101,14 +103,14 @@
    * failed swap leaves the old one. A report that is older than what a stream
    * has shown since says nothing.
    */
-  noteWeightVersion(version: number, seenAtMs: number): void {
-    if (seenAtMs < this.versionSeenAtMs) return;
-    this.versionSeenAtMs = seenAtMs;
-    if (version !== this.weightVersion) this.forgetCache();
+  recordWeightVersion(version: number, observedAtMs: number): void {
+    if (observedAtMs < this.versionObservedAtMs) return;
+    this.versionObservedAtMs = observedAtMs;
+    if (version !== this.weightVersion) this.invalidateCache();
     this.weightVersion = version;
   }
 
-  notePeer(vm: VmId, inFlight: number): void {
+  recordPeerLoad(vm: VmId, inFlight: number): void {
     this.peerTotal += inFlight - (this.peers.get(vm) ?? 0);
     if (inFlight > 0) this.peers.set(vm, inFlight);
     else this.peers.delete(vm);
@@ -118,7 +120,7 @@
   /** Forgets peers that are gone. */
   retainPeers(vms: readonly VmId[]): void {
     for (const vm of this.peers.keys()) {
-      if (!vms.includes(vm)) this.notePeer(vm, 0);
+      if (!vms.includes(vm)) this.recordPeerLoad(vm, 0);
     }
     this.isAllowanceStale = true;
   }
@@ -129,7 +131,7 @@
 
   /** Whether one more of `workClass` may go there. */
   hasRoomFor(workClass: WorkClass, view: VmView): boolean {
-    if (this.quarantined) return false;
+    if (this.isQuarantined) return false;
     const limit = this.limit.limit;
     if (workClass === 'interactive') {
       // The reserve is for requests that come now and then, from any VM; what
@@ -150,28 +152,30 @@
   }
 
   /** A connection broke while this request ran. */
-  noteLost(fingerprint: string, nowMs: number): void {
-    this.lost = this.lost.filter(l => nowMs - l.atMs < LOST_KEPT_MS);
-    this.lost.push({fingerprint, atMs: nowMs});
+  recordLostConnection(fingerprint: string, nowMs: number): void {
+    this.lostConnections = this.lostConnections.filter(
+      l => nowMs - l.atMs < LOST_CONNECTION_WINDOW_MS,
+    );
+    this.lostConnections.push({fingerprint, atMs: nowMs});
   }
 
   /** Takes out the requests whose connections broke a short while ago. */
-  takeLost(nowMs: number): readonly string[] {
-    const {lost} = this;
-    this.lost = [];
-    return lost
-      .filter(l => nowMs - l.atMs < LOST_KEPT_MS)
-      .map(l => l.fingerprint);
+  takeLostConnections(nowMs: number): readonly string[] {
+    const {lostConnections} = this;
+    this.lostConnections = [];
+    return lostConnections
+      .filter(connection => nowMs - connection.atMs < LOST_CONNECTION_WINDOW_MS)
+      .map(connection => connection.fingerprint);
   }
 
   /** The endpoint's cache is gone, after a crash or with new weights. */
-  forgetCache(): void {
-    this.epoch++;
+  invalidateCache(): void {
+    this.invalidations++;
   }
 
   /** Counts the times that the cache was lost. */
   get cacheEpoch(): number {
-    return this.epoch;
+    return this.invalidations;
   }
 
   private computeAllowance(view: VmView): number {
@@ -184,8 +188,8 @@
     const demands = vms.map(vm =>
       vm === view.self ? forRollouts : this.peers.get(vm)! + 1,
     );
-    const parts = divideLimit(forRollouts, demands, hashOffset(this.id));
-    return parts[vms.indexOf(view.self)];
+    const shares = divideLimit(forRollouts, demands, hashOffset(this.id));
+    return shares[vms.indexOf(view.self)];
   }
 }
 
--- a/packages/core/src/scheduling/fair_queue.ts
+++ b/packages/core/src/scheduling/fair_queue.ts
@@ -16,10 +16,10 @@
   /** What it will take of an endpoint, in tokens. */
   readonly cost: number;
   /** Works that were begun before go first among equals. */
-  readonly begun: boolean;
+  readonly isStarted: boolean;
 }
 
-interface Slot<T> {
+interface QueuedEntry<T> {
   readonly entry: T;
   readonly cost: number;
   readonly order: number;
@@ -27,7 +27,7 @@
 
 interface TenantQueue<T> {
   readonly tenant: TenantId;
-  readonly slots: BinaryHeap<Slot<T>>;
+  readonly entries: BinaryHeap<QueuedEntry<T>>;
   /** Virtual time at which the tenant's next work starts. */
   virtualStart: number;
   cost: number;
@@ -73,7 +73,7 @@
 
   push(entry: T): void {
     const queue = this.getTenant(entry.tenant);
-    queue.slots.push({entry, cost: entry.cost, order: this.nextOrder++});
+    queue.entries.push({entry, cost: entry.cost, order: this.nextOrder++});
     queue.cost += entry.cost;
     this.totalCost += entry.cost;
     queue.count++;
@@ -86,13 +86,13 @@
   }
 
   peek(): T | undefined {
-    return this.findNext()?.slots.peek()!.entry;
+    return this.findNext()?.entries.peek()!.entry;
   }
 
   pop(): T | undefined {
     const queue = this.findNext();
     if (!queue) return undefined;
-    const {entry, cost} = queue.slots.pop()!;
+    const {entry, cost} = queue.entries.pop()!;
     this.active.pop();
     this.virtualNow = queue.virtualStart;
     queue.virtualStart += Math.max(1, cost);
@@ -120,11 +120,11 @@
     for (;;) {
       const queue = this.active.peek();
       if (!queue) return undefined;
-      const slot = queue.slots.peek();
-      if (slot && !this.removed.has(slot.entry)) return queue;
-      if (slot) {
-        queue.slots.pop();
-        this.removed.delete(slot.entry);
+      const head = queue.entries.peek();
+      if (head && !this.removed.has(head.entry)) return queue;
+      if (head) {
+        queue.entries.pop();
+        this.removed.delete(head.entry);
         continue;
       }
       this.active.pop();
@@ -133,7 +133,7 @@
   }
 
   private reactivate(queue: TenantQueue<T>): void {
-    queue.isActive = queue.slots.size > 0;
+    queue.isActive = queue.entries.size > 0;
     if (queue.isActive) this.active.push(queue);
     else if (this.tenants.size > MAX_IDLE_TENANTS) {
       this.tenants.delete(queue.tenant);
@@ -145,7 +145,7 @@
     if (!queue) {
       queue = {
         tenant,
-        slots: new BinaryHeap<Slot<T>>(isSlotBefore),
+        entries: new BinaryHeap<QueuedEntry<T>>(isEntryBefore),
         virtualStart: this.virtualNow,
         cost: 0,
         count: 0,
@@ -157,11 +157,14 @@
   }
 }
 
-function isSlotBefore<T extends QueueEntry>(a: Slot<T>, b: Slot<T>): boolean {
+function isEntryBefore<T extends QueueEntry>(
+  a: QueuedEntry<T>,
+  b: QueuedEntry<T>,
+): boolean {
   const x = a.entry;
   const y = b.entry;
   if (x.priority !== y.priority) return x.priority > y.priority;
-  if (x.begun !== y.begun) return x.begun;
+  if (x.isStarted !== y.isStarted) return x.isStarted;
   if (x.deadlineAtMs !== y.deadlineAtMs) return x.deadlineAtMs < y.deadlineAtMs;
   if (a.cost !== b.cost) return a.cost > b.cost;
   return a.order < b.order;
--- a/packages/core/src/scheduling/naive_scheduler.ts
+++ b/packages/core/src/scheduling/naive_scheduler.ts
@@ -22,8 +22,8 @@
 
 export class NaiveScheduler extends Scheduler {
   private endpoints: readonly EndpointInfo[] = [];
-  private readonly works = new Map<string, NaiveWork>();
-  private turn = 0;
+  private readonly workItems = new Map<string, NaiveWork>();
+  private nextIndex = 0;
 
   handle(event: SchedulerEvent): readonly SchedulerAction[] {
     switch (event.kind) {
@@ -31,10 +31,10 @@
         this.endpoints = event.endpoints;
         return [];
       case 'enqueue':
-        this.works.set(event.work.id, {item: event.work, attempt: 0});
+        this.workItems.set(event.work.id, {item: event.work, attempt: 0});
         return this.start(event.work.id);
       case 'adopt':
-        this.works.set(event.work.id, {
+        this.workItems.set(event.work.id, {
           item: event.work,
           attempt: event.attempt,
           endpoint: event.endpoint,
@@ -49,8 +49,8 @@
     }
   }
 
-  countWorks(): number {
-    return this.works.size;
+  countWorkItems(): number {
+    return this.workItems.size;
   }
 
   listEndpoints(): readonly EndpointStatus[] {
@@ -66,21 +66,22 @@
 
   private countInFlight(id: EndpointId): number {
     let count = 0;
-    for (const work of this.works.values()) if (work.endpoint === id) count++;
+    for (const work of this.workItems.values())
+      if (work.endpoint === id) count++;
     return count;
   }
 
   private start(workId: string): readonly SchedulerAction[] {
-    const work = this.works.get(workId)!;
+    const work = this.workItems.get(workId)!;
     const candidates = this.endpoints.filter(
       e => e.group === work.item.group && e.state === 'live',
     );
     if (candidates.length === 0 || work.attempt >= work.item.maxAttempts) {
-      this.works.delete(workId);
+      this.workItems.delete(workId);
       const kind = candidates.length === 0 ? 'no_endpoint' : 'endpoint_failed';
       return [{kind: 'give_up', workId, error: createError(kind)}];
     }
-    const endpoint = candidates[this.turn++ % candidates.length].id;
+    const endpoint = candidates[this.nextIndex++ % candidates.length].id;
     work.attempt++;
     work.endpoint = endpoint;
     return [
@@ -100,18 +101,18 @@
     attempt: number,
     outcome: 'finished' | 'failed' | 'stopped',
   ): readonly SchedulerAction[] {
-    const work = this.works.get(workId);
+    const work = this.workItems.get(workId);
     if (!work || work.attempt !== attempt) return [];
     if (outcome === 'failed' && work.item.idempotent) return this.start(workId);
-    this.works.delete(workId);
+    this.workItems.delete(workId);
     if (outcome === 'finished') return [{kind: 'done', workId, attempt}];
     const kind = outcome === 'failed' ? 'outcome_unknown' : 'cancelled';
     return [{kind: 'give_up', workId, error: createError(kind)}];
   }
 
   private cancel(workId: string): readonly SchedulerAction[] {
-    const work = this.works.get(workId);
-    this.works.delete(workId);
+    const work = this.workItems.get(workId);
+    this.workItems.delete(workId);
     if (!work?.endpoint) return [];
     const {attempt, endpoint} = work;
     return [{kind: 'stop', workId, attempt, endpoint}];
--- a/packages/core/src/scheduling/policy_options.ts
+++ b/packages/core/src/scheduling/policy_options.ts
@@ -38,7 +38,7 @@
 };
 
 /** What was in use when this round of measuring began. */
-export const ROUND_START_POLICY: PolicyOptions = {
+export const BASELINE_POLICY: PolicyOptions = {
   ...DEFAULT_POLICY,
   hedging: true,
   pacing: false,
--- a/packages/core/src/scheduling/policy_scheduler.ts
+++ b/packages/core/src/scheduling/policy_scheduler.ts
@@ -24,8 +24,8 @@
 } from './scheduler.js';
 import {SchedulerState} from './scheduler_state.js';
 import {StragglerScan} from './straggler_scan.js';
-import {WorkDispatch} from './work_dispatch.js';
-import {WorkEnds} from './work_ends.js';
+import {WorkDispatcher} from './work_dispatcher.js';
+import {WorkCompletion} from './work_completion.js';
 import {WorkQueues} from './work_queues.js';
 import {WorkState} from './work_state.js';
 
@@ -36,8 +36,8 @@
   private readonly state: SchedulerState;
   private readonly queues: WorkQueues;
   private readonly attempts: AttemptTable;
-  private readonly ends: WorkEnds;
-  private readonly starts: WorkDispatch;
+  private readonly completion: WorkCompletion;
+  private readonly dispatcher: WorkDispatcher;
   private readonly stragglers: StragglerScan;
   private scannedAtMs = 0;
 
@@ -52,30 +52,30 @@
     this.state = state;
     this.queues = new WorkQueues(state);
     this.attempts = new AttemptTable(state, this.queues);
-    this.ends = new WorkEnds(state, this.queues, this.attempts);
-    this.starts = new WorkDispatch(
+    this.completion = new WorkCompletion(state, this.queues, this.attempts);
+    this.dispatcher = new WorkDispatcher(
       state,
       this.queues,
       this.attempts,
-      this.ends,
+      this.completion,
     );
     this.stragglers = new StragglerScan(
       state,
       this.attempts,
-      this.ends,
-      this.starts,
+      this.completion,
+      this.dispatcher,
     );
   }
 
   handle(event: SchedulerEvent, nowMs: number): readonly SchedulerAction[] {
-    this.state.begin(nowMs);
-    this.take(event);
-    this.state.visitDirty(group => this.starts.dispatch(group));
-    return this.state.emitted;
+    this.state.beginEvent(nowMs);
+    this.applyEvent(event);
+    this.state.visitDirtyGroups(group => this.dispatcher.dispatch(group));
+    return this.state.emittedActions;
   }
 
-  countWorks(): number {
-    return this.state.works.size;
+  countWorkItems(): number {
+    return this.state.workItems.size;
   }
 
   listEndpoints(): readonly EndpointStatus[] {
@@ -90,7 +90,7 @@
     }));
   }
 
-  private take(event: SchedulerEvent): void {
+  private applyEvent(event: SchedulerEvent): void {
     const {state} = this;
     const {directory, nowMs} = state;
     switch (event.kind) {
@@ -104,20 +104,25 @@
         directory.setVms(event.vms, nowMs);
         return state.markAllDirty();
       case 'load':
-        return state.noteChanged(directory.noteReport(event.report, nowMs));
+        return state.onEndpointChanged(
+          directory.recordReport(event.report, nowMs),
+        );
       case 'peer_load':
-        directory.notePeer(event.vm, event.inFlight, nowMs);
+        directory.recordPeerLoad(event.vm, event.inFlight, nowMs);
         return state.markAllDirty();
       case 'cache':
-        return directory.noteCache(
+        return directory.recordCache(
           event.endpoint,
           event.prefixKey,
           event.cached,
         );
       case 'suspects':
-        return state.suspects.noteReported(event.fingerprints, nowMs);
+        return state.suspects.recordReportedCrash(event.fingerprints, nowMs);
       case 'min_version':
-        return this.ends.raiseMinVersion(event.stepKey, event.minWeightVersion);
+        return this.completion.raiseMinVersion(
+          event.stepKey,
+          event.minWeightVersion,
+        );
       case 'enqueue':
         return this.enqueue(event.work);
       case 'adopt':
@@ -126,15 +131,15 @@
         const attempt = this.attempts.find(event.workId, event.attempt);
         if (!attempt) return;
         const {tokens, weightVersion} = event;
-        return this.attempts.noteProgress(attempt, tokens, weightVersion);
+        return this.attempts.recordProgress(attempt, tokens, weightVersion);
       }
       case 'ended': {
         const attempt = this.attempts.find(event.workId, event.attempt);
-        return attempt && this.ends.end(attempt, event.outcome);
+        return attempt && this.completion.onAttemptEnd(attempt, event.outcome);
       }
       case 'cancel': {
-        const work = state.works.get(event.workId);
-        return work && this.ends.cancel(work);
+        const work = state.workItems.get(event.workId);
+        return work && this.completion.cancel(work);
       }
       case 'tick':
         return this.tick();
@@ -144,7 +149,7 @@
   // Intake
 
   private enqueue(item: WorkItem): void {
-    if (this.state.works.has(item.id)) return;
+    if (this.state.workItems.has(item.id)) return;
     const group = this.state.directory.getGroup(item.group);
     const work = new WorkState(item, this.state.estimateLength(item, 0));
     const refusal = this.findRefusal(work, group);
@@ -153,7 +158,7 @@
       return;
     }
     this.addWork(work);
-    this.queues.queue(work);
+    this.queues.enqueue(work);
     // The samples of a step come one by one; were the first to start at once,
     // the longest would find the endpoints taken.
     if (this.options.gathering && item.stepKey !== '') group.isGathering = true;
@@ -171,17 +176,17 @@
 
   /** Takes over a work that another VM had sent to an endpoint. */
   private adopt(item: WorkItem, number: number, id: EndpointId): void {
-    if (this.state.works.has(item.id)) return;
+    if (this.state.workItems.has(item.id)) return;
     const work = new WorkState(item, this.state.estimateLength(item, 0));
     this.addWork(work);
     work.attempts = number;
     // Only the count is known: the earlier attempts went out from another VM.
     work.sentAttempts = number;
-    this.attempts.open(work, this.findOrInvent(id, item.group), number);
+    this.attempts.open(work, this.findOrCreateEndpoint(id, item.group), number);
   }
 
   /** The endpoint, or a stand-in where the list no longer has it. */
-  private findOrInvent(id: EndpointId, group: string): EndpointState {
+  private findOrCreateEndpoint(id: EndpointId, group: string): EndpointState {
     return (
       this.state.directory.endpoints.get(id) ??
       new EndpointState({
@@ -198,8 +203,8 @@
 
   private addWork(work: WorkState): void {
     const {id, stepKey} = work.item;
-    this.state.works.set(id, work);
-    this.ends.watch(work);
+    this.state.workItems.set(id, work);
+    this.completion.watchDeadline(work);
     if (stepKey !== '') this.state.pace.add(stepKey, work);
   }
 
@@ -209,13 +214,13 @@
     const {directory, nowMs} = this.state;
     this.queues.releaseDelayed();
     this.endGathering();
-    this.ends.expire();
+    this.completion.expireDue();
     for (const endpoint of directory.refreshSuspected(nowMs)) {
-      this.state.noteChanged(endpoint);
+      this.state.onEndpointChanged(endpoint);
     }
     if (nowMs - this.scannedAtMs < STRAGGLER_SCAN_MS) return;
     this.scannedAtMs = nowMs;
-    this.queues.updatePace();
+    this.queues.updateStepTargets();
     for (const group of directory.groups.values()) {
       this.queues.releaseParked(group);
       this.stragglers.scan(group);
@@ -226,7 +231,7 @@
     for (const group of this.state.directory.groups.values()) {
       if (!group.isGathering) continue;
       group.isGathering = false;
-      this.queues.updatePace();
+      this.queues.updateStepTargets();
       this.state.markDirty(group);
     }
   }
--- a/packages/core/src/scheduling/prefix_index.ts
+++ b/packages/core/src/scheduling/prefix_index.ts
@@ -19,12 +19,15 @@
 export class PrefixIndex {
   private readonly holders = new Map<string, readonly Holder[]>();
 
-  note(prefixKey: string, endpoint: EndpointState): void {
-    const known = this.holders.get(prefixKey);
+  record(prefixKey: string, endpoint: EndpointState): void {
+    const current = this.holders.get(prefixKey);
     const {cacheEpoch} = endpoint;
-    if (known?.[0].endpoint === endpoint && known[0].cacheEpoch === cacheEpoch)
+    if (
+      current?.[0].endpoint === endpoint &&
+      current[0].cacheEpoch === cacheEpoch
+    )
       return;
-    const others = (known ?? []).filter(h => h.endpoint !== endpoint);
+    const others = (current ?? []).filter(h => h.endpoint !== endpoint);
     this.holders.delete(prefixKey);
     this.holders.set(prefixKey, [
       {endpoint, cacheEpoch},
@@ -35,17 +38,17 @@
     }
   }
 
-  drop(prefixKey: string, endpoint: EndpointState): void {
-    const known = this.holders.get(prefixKey);
-    const left = known?.filter(h => h.endpoint !== endpoint);
-    if (!left || left.length === 0) this.holders.delete(prefixKey);
-    else this.holders.set(prefixKey, left);
+  remove(prefixKey: string, endpoint: EndpointState): void {
+    const current = this.holders.get(prefixKey);
+    const remaining = current?.filter(h => h.endpoint !== endpoint);
+    if (!remaining || remaining.length === 0) this.holders.delete(prefixKey);
+    else this.holders.set(prefixKey, remaining);
   }
 
   find(prefixKey: string): readonly EndpointState[] {
-    const known = this.holders.get(prefixKey);
-    if (!known) return [];
-    return known
+    const current = this.holders.get(prefixKey);
+    if (!current) return [];
+    return current
       .filter(h => h.cacheEpoch === h.endpoint.cacheEpoch)
       .map(h => h.endpoint);
   }
--- a/packages/core/src/scheduling/random_bits.ts
+++ b/packages/core/src/scheduling/random_bits.ts
@@ -17,20 +17,22 @@
 }
 
 /** A uniform integer from 0 up to but without `bound`. */
-export function drawBelow(random: RandomBits, bound: number): number {
+export function pickRandomBelow(random: RandomBits, bound: number): number {
   return Math.floor((random() / 2 ** 32) * bound);
 }
 
 /** Up to `count` different items, in random order. */
-export function drawSome<T>(
+export function pickRandomItems<T>(
   random: RandomBits,
   items: readonly T[],
   count: number,
 ): readonly T[] {
-  const rest = [...items];
-  const drawn: T[] = [];
-  while (drawn.length < count && rest.length > 0) {
-    drawn.push(...rest.splice(drawBelow(random, rest.length), 1));
+  const remaining = [...items];
+  const picked: T[] = [];
+  while (picked.length < count && remaining.length > 0) {
+    picked.push(
+      ...remaining.splice(pickRandomBelow(random, remaining.length), 1),
+    );
   }
-  return drawn;
+  return picked;
 }
--- a/packages/core/src/scheduling/draw_set.ts
+++ b/packages/core/src/scheduling/random_set.ts
@@ -1,8 +1,8 @@
 /** A set from which members are drawn at random in constant time. */
 
-import {drawBelow, RandomBits} from './random_bits.js';
+import {pickRandomBelow, RandomBits} from './random_bits.js';
 
-export class DrawSet<T> {
+export class RandomSet<T> {
   private readonly members: T[] = [];
   private readonly positions = new Map<T, number>();
 
@@ -15,10 +15,10 @@
   }
 
   /** Adds or takes out. */
-  set(member: T, isMember: boolean): void {
-    const at = this.positions.get(member);
-    if (isMember === (at !== undefined)) return;
-    if (at === undefined) {
+  setMember(member: T, isMember: boolean): void {
+    const position = this.positions.get(member);
+    if (isMember === (position !== undefined)) return;
+    if (position === undefined) {
       this.positions.set(member, this.members.length);
       this.members.push(member);
       return;
@@ -26,13 +26,13 @@
     const last = this.members.pop()!;
     this.positions.delete(member);
     if (last === member) return;
-    this.members[at] = last;
-    this.positions.set(last, at);
+    this.members[position] = last;
+    this.positions.set(last, position);
   }
 
   /** A member by chance; the set must not be empty. */
-  draw(random: RandomBits): T {
-    return this.members[drawBelow(random, this.members.length)];
+  pickRandom(random: RandomBits): T {
+    return this.members[pickRandomBelow(random, this.members.length)];
   }
 
   list(): readonly T[] {
--- a/packages/core/src/scheduling/retry_policy.ts
+++ b/packages/core/src/scheduling/retry_policy.ts
@@ -31,57 +31,57 @@
   readonly partialOutput: RetryRule;
 }
 
-function rule(action: RetryAction, error: ErrorKind): RetryRule {
+function createRule(action: RetryAction, error: ErrorKind): RetryRule {
   return {action, error};
 }
 
-const UNREACHABLE = rule('restart', 'endpoint_unreachable');
-const UNKNOWN = rule('give_up', 'outcome_unknown');
+const UNREACHABLE_RULE = createRule('restart', 'endpoint_unreachable');
+const UNKNOWN_OUTCOME_RULE = createRule('give_up', 'outcome_unknown');
 
 /** A request that may have been received and whose connection then broke. */
-const BROKEN_ROW: RetryRow = {
-  notSent: UNREACHABLE,
-  nonIdempotent: UNKNOWN,
-  noOutput: rule('restart', 'endpoint_failed'),
-  partialOutput: rule('resume', 'endpoint_failed'),
+const CONNECTION_BROKEN_ROW: RetryRow = {
+  notSent: UNREACHABLE_RULE,
+  nonIdempotent: UNKNOWN_OUTCOME_RULE,
+  noOutput: createRule('restart', 'endpoint_failed'),
+  partialOutput: createRule('resume', 'endpoint_failed'),
 };
 
 export const RETRY_TABLE: Readonly<Record<FailureKind, RetryRow>> = {
-  connect_failed: BROKEN_ROW,
-  connection_lost: BROKEN_ROW,
-  crashed: BROKEN_ROW,
+  connect_failed: CONNECTION_BROKEN_ROW,
+  connection_lost: CONNECTION_BROKEN_ROW,
+  crashed: CONNECTION_BROKEN_ROW,
   silent: {
-    notSent: UNREACHABLE,
-    nonIdempotent: UNKNOWN,
-    noOutput: rule('restart', 'endpoint_silent'),
-    partialOutput: rule('resume', 'endpoint_silent'),
+    notSent: UNREACHABLE_RULE,
+    nonIdempotent: UNKNOWN_OUTCOME_RULE,
+    noOutput: createRule('restart', 'endpoint_silent'),
+    partialOutput: createRule('resume', 'endpoint_silent'),
   },
   // An endpoint's 503 may come from behind its own queue, after work began, so
   // that a non-idempotent request isn't sent again even then.
   rejected: {
-    notSent: rule('restart', 'overloaded'),
-    nonIdempotent: UNKNOWN,
-    noOutput: rule('restart', 'endpoint_failed'),
-    partialOutput: rule('resume', 'endpoint_failed'),
+    notSent: createRule('restart', 'overloaded'),
+    nonIdempotent: UNKNOWN_OUTCOME_RULE,
+    noOutput: createRule('restart', 'endpoint_failed'),
+    partialOutput: createRule('resume', 'endpoint_failed'),
   },
   server_error: {
-    notSent: UNREACHABLE,
-    nonIdempotent: UNKNOWN,
-    noOutput: rule('restart', 'endpoint_failed'),
-    partialOutput: rule('resume', 'endpoint_failed'),
+    notSent: UNREACHABLE_RULE,
+    nonIdempotent: UNKNOWN_OUTCOME_RULE,
+    noOutput: createRule('restart', 'endpoint_failed'),
+    partialOutput: createRule('resume', 'endpoint_failed'),
   },
   client_error: {
-    notSent: rule('give_up', 'bad_request'),
-    nonIdempotent: rule('give_up', 'endpoint_failed'),
-    noOutput: rule('give_up', 'endpoint_failed'),
-    partialOutput: rule('give_up', 'endpoint_failed'),
+    notSent: createRule('give_up', 'bad_request'),
+    nonIdempotent: createRule('give_up', 'endpoint_failed'),
+    noOutput: createRule('give_up', 'endpoint_failed'),
+    partialOutput: createRule('give_up', 'endpoint_failed'),
   },
   // Output over the staleness bound is of no use, nor is going on from it.
   stale: {
-    notSent: rule('restart', 'not_fresh_in_time'),
-    nonIdempotent: UNKNOWN,
-    noOutput: rule('restart', 'not_fresh_in_time'),
-    partialOutput: rule('restart', 'not_fresh_in_time'),
+    notSent: createRule('restart', 'not_fresh_in_time'),
+    nonIdempotent: UNKNOWN_OUTCOME_RULE,
+    noOutput: createRule('restart', 'not_fresh_in_time'),
+    partialOutput: createRule('restart', 'not_fresh_in_time'),
   },
 };
 
@@ -116,22 +116,22 @@
   private readonly tenants = new Map<TenantId, TokenBucket>();
   private readonly endpoints = new Map<EndpointId, TokenBucket>();
 
-  noteStart(tenant: TenantId, endpoint: EndpointId): void {
-    getBucket(this.tenants, tenant).earn(RETRIES_PER_START);
-    getBucket(this.endpoints, endpoint).earn(RETRIES_PER_START);
+  recordStart(tenant: TenantId, endpoint: EndpointId): void {
+    getBucket(this.tenants, tenant).add(RETRIES_PER_START);
+    getBucket(this.endpoints, endpoint).add(RETRIES_PER_START);
   }
 
   /** Ms that a retry after a failure at `endpoint` has to wait; 0 takes it now. */
-  take(tenant: TenantId, endpoint: EndpointId, nowMs: number): number {
-    const ofTenant = getBucket(this.tenants, tenant);
-    const ofEndpoint = getBucket(this.endpoints, endpoint);
+  takeRetry(tenant: TenantId, endpoint: EndpointId, nowMs: number): number {
+    const tenantBucket = getBucket(this.tenants, tenant);
+    const endpointBucket = getBucket(this.endpoints, endpoint);
     const waitMs = Math.max(
-      ofTenant.measureWaitMs(nowMs),
-      ofEndpoint.measureWaitMs(nowMs),
+      tenantBucket.measureWaitMs(nowMs),
+      endpointBucket.measureWaitMs(nowMs),
     );
     if (waitMs > 0) return waitMs;
-    ofTenant.take(nowMs);
-    ofEndpoint.take(nowMs);
+    tenantBucket.take(nowMs);
+    endpointBucket.take(nowMs);
     return 0;
   }
 
--- a/packages/core/src/scheduling/scheduler.ts
+++ b/packages/core/src/scheduling/scheduler.ts
@@ -178,7 +178,7 @@
   ): readonly SchedulerAction[];
 
   /** Works queued or running. */
-  abstract countWorks(): number;
+  abstract countWorkItems(): number;
 
   abstract listEndpoints(): readonly EndpointStatus[];
 }
--- a/packages/core/src/scheduling/scheduler_state.ts
+++ b/packages/core/src/scheduling/scheduler_state.ts
@@ -7,7 +7,7 @@
 import {EndpointDirectory, EndpointGroup} from './endpoint_directory.js';
 import type {ScoreView} from './endpoint_score.js';
 import type {EndpointState} from './endpoint_state.js';
-import {Freshness} from './freshness.js';
+import {StalenessBounds} from './staleness_bounds.js';
 import {LengthEstimate} from './length_estimate.js';
 import type {PolicyOptions} from './policy_options.js';
 import type {RandomBits} from './random_bits.js';
@@ -19,8 +19,8 @@
 
 export class SchedulerState {
   readonly directory: EndpointDirectory;
-  readonly works = new Map<string, WorkState>();
-  readonly freshness = new Freshness();
+  readonly workItems = new Map<string, WorkState>();
+  readonly stalenessBounds = new StalenessBounds();
   readonly suspects = new SuspectList();
   readonly retries = new RetryBudget();
   readonly stragglers = new StragglerPolicy();
@@ -41,7 +41,7 @@
   }
 
   /** Begins an event: what was decided for the one before has been taken. */
-  begin(nowMs: number): void {
+  beginEvent(nowMs: number): void {
     this.nowMs = nowMs;
     this.actions = [];
   }
@@ -50,7 +50,7 @@
     this.actions.push(action);
   }
 
-  get emitted(): readonly SchedulerAction[] {
+  get emittedActions(): readonly SchedulerAction[] {
     return this.actions;
   }
 
@@ -64,13 +64,13 @@
   }
 
   /** Goes through the groups in which something may start now, each once. */
-  visitDirty(visit: (group: EndpointGroup) => void): void {
+  visitDirtyGroups(visit: (group: EndpointGroup) => void): void {
     for (const group of this.dirty) visit(group);
     this.dirty.clear();
   }
 
   /** To be called after the room or the health of an endpoint changed. */
-  noteChanged(endpoint: EndpointState | undefined): void {
+  onEndpointChanged(endpoint: EndpointState | undefined): void {
     if (!endpoint) return;
     endpoint.markAllowanceStale();
     this.directory.refresh(endpoint, this.nowMs);
@@ -92,7 +92,7 @@
   /** Oldest version of the weights that the work's output may come from now. */
   findMinVersion(work: WorkState): number {
     const {stepKey, minWeightVersion} = work.item;
-    return this.freshness.findMin(stepKey, minWeightVersion);
+    return this.stalenessBounds.findMinVersion(stepKey, minWeightVersion);
   }
 
   /** The bound holds against what the trainer has at this very moment. */
@@ -106,7 +106,7 @@
     return partial.oldestVersion < this.findMinVersion(work);
   }
 
-  getView(group: EndpointGroup): ScoreView {
+  getScoreView(group: EndpointGroup): ScoreView {
     return {
       dataCentre: this.config.dataCentre,
       newestVersion: group.pool.newestVersion,
--- a/packages/core/src/scheduling/speed_model.ts
+++ b/packages/core/src/scheduling/speed_model.ts
@@ -11,16 +11,16 @@
 /** Streams at which the prior is taken as observed, to hold the line. */
 const PRIOR_STREAMS = [1, 32] as const;
 /** Part of older observations that each new one leaves. */
-const KEEP = 0.999;
+const DECAY = 0.999;
 const MIN_BASE_MS = 0.01;
 
 /** One line fitted by least squares whose older points fade. */
 export class SpeedModel {
   private weight = 0;
-  private sumN = 0;
-  private sumNn = 0;
-  private sumT = 0;
-  private sumNt = 0;
+  private sumStreams = 0;
+  private sumStreamsSquared = 0;
+  private sumTokenMs = 0;
+  private sumProducts = 0;
 
   constructor() {
     for (const streams of PRIOR_STREAMS) {
@@ -29,29 +29,30 @@
     }
   }
 
-  note(streams: number, tokenMs: number): void {
-    this.weight *= KEEP;
-    this.sumN *= KEEP;
-    this.sumNn *= KEEP;
-    this.sumT *= KEEP;
-    this.sumNt *= KEEP;
+  record(streams: number, tokenMs: number): void {
+    this.weight *= DECAY;
+    this.sumStreams *= DECAY;
+    this.sumStreamsSquared *= DECAY;
+    this.sumTokenMs *= DECAY;
+    this.sumProducts *= DECAY;
     this.add(streams, tokenMs, 1);
   }
 
   /** Expected ms for one token where `streams` run, on an ordinary endpoint. */
   predictMs(streams: number): number {
-    const spread = this.weight * this.sumNn - this.sumN ** 2;
-    const covariance = this.weight * this.sumNt - this.sumN * this.sumT;
+    const spread = this.weight * this.sumStreamsSquared - this.sumStreams ** 2;
+    const covariance =
+      this.weight * this.sumProducts - this.sumStreams * this.sumTokenMs;
     const slope = spread > 0 ? Math.max(0, covariance / spread) : 0;
-    const base = (this.sumT - slope * this.sumN) / this.weight;
+    const base = (this.sumTokenMs - slope * this.sumStreams) / this.weight;
     return Math.max(MIN_BASE_MS, base + slope * streams);
   }
 
   private add(streams: number, tokenMs: number, weight: number): void {
     this.weight += weight;
-    this.sumN += weight * streams;
-    this.sumNn += weight * streams ** 2;
-    this.sumT += weight * tokenMs;
-    this.sumNt += weight * streams * tokenMs;
+    this.sumStreams += weight * streams;
+    this.sumStreamsSquared += weight * streams ** 2;
+    this.sumTokenMs += weight * tokenMs;
+    this.sumProducts += weight * streams * tokenMs;
   }
 }
--- a/packages/core/src/scheduling/step_pace.ts
+++ b/packages/core/src/scheduling/step_pace.ts
@@ -8,7 +8,7 @@
 import type {WorkState} from './work_state.js';
 
 interface OpenStep {
-  readonly works: Set<WorkState>;
+  readonly workItems: Set<WorkState>;
   target: number;
   longestTokens: number;
   maxTokens: number;
@@ -19,19 +19,19 @@
 
   constructor(
     private readonly lengths: LengthEstimate,
-    private readonly isOn: boolean,
+    private readonly isEnabled: boolean,
   ) {}
 
   add(stepKey: string, work: WorkState): void {
     const {maxTokens} = work.item;
     const step = this.steps.get(stepKey);
     if (step) {
-      step.works.add(work);
+      step.workItems.add(work);
       step.maxTokens = Math.max(step.maxTokens, maxTokens);
       return;
     }
     this.steps.set(stepKey, {
-      works: new Set([work]),
+      workItems: new Set([work]),
       target: Infinity,
       longestTokens: 0,
       maxTokens,
@@ -40,10 +40,10 @@
 
   remove(stepKey: string, work: WorkState, finishedTokens: number): void {
     const step = this.steps.get(stepKey);
-    if (!step?.works.delete(work)) return;
+    if (!step?.workItems.delete(work)) return;
     step.longestTokens = Math.max(step.longestTokens, finishedTokens);
-    if (step.works.size > 0) return;
-    this.lengths.noteStep(step.longestTokens, step.maxTokens);
+    if (step.workItems.size > 0) return;
+    this.lengths.recordStep(step.longestTokens, step.maxTokens);
     this.steps.delete(stepKey);
   }
 
@@ -52,8 +52,8 @@
     return this.steps.has(stepKey);
   }
 
-  listWorks(stepKey: string): readonly WorkState[] {
-    return [...(this.steps.get(stepKey)?.works ?? [])];
+  listWorkItems(stepKey: string): readonly WorkState[] {
+    return [...(this.steps.get(stepKey)?.workItems ?? [])];
   }
 
   get stepKeys(): readonly string[] {
@@ -66,20 +66,24 @@
   }
 
   /** Works out the targets anew; `endpoints` is how many can be used. */
-  update(stepKey: string, endpoints: number): void {
+  updateTarget(stepKey: string, endpoints: number): void {
     const step = this.steps.get(stepKey);
-    if (!step || !this.isOn) return;
-    let tokens = 0;
+    if (!step || !this.isEnabled) return;
+    let remainingTokens = 0;
     let longestTokens = 0;
-    for (const work of step.works) {
+    for (const work of step.workItems) {
       const {groupKey, maxTokens} = work.item;
-      const made = work.tokens;
-      tokens += this.lengths.estimate(groupKey, maxTokens, made) - made;
+      const generated = work.tokens;
+      remainingTokens +=
+        this.lengths.estimate(groupKey, maxTokens, generated) - generated;
       longestTokens = Math.max(
         longestTokens,
-        this.lengths.estimateLongestLeft(maxTokens, made),
+        this.lengths.estimateLongestRemaining(maxTokens, generated),
       );
     }
-    step.target = computeBatchTarget({tokens, longestTokens}, endpoints);
+    step.target = computeBatchTarget(
+      {tokens: remainingTokens, longestTokens},
+      endpoints,
+    );
   }
 }
--- a/packages/core/src/scheduling/straggler.ts
+++ b/packages/core/src/scheduling/straggler.ts
@@ -16,9 +16,9 @@
   | 'hedge';
 
 /** An attempt that has shown nothing for this long may never again. */
-const QUIET_BEFORE_HEDGE_MS = 1500;
+const STALLED_BEFORE_HEDGE_MS = 1500;
 /** How many times faster the other endpoint has to be. */
-const MIN_GAIN = 1.5;
+const MIN_SPEEDUP = 1.5;
 const MIN_SAVED_MS = 2000;
 /** Second attempts for the tail, as a share of all starts. */
 const BUDGET_PER_START = 0.05;
@@ -29,8 +29,8 @@
 export class StragglerPolicy {
   private readonly budgets = new Map<TenantId, TokenBucket>();
 
-  noteStart(tenant: TenantId): void {
-    this.getBudget(tenant).earn(BUDGET_PER_START);
+  recordStart(tenant: TenantId): void {
+    this.getBudget(tenant).add(BUDGET_PER_START);
   }
 
   /** Whether the tenant's budget allows one more second attempt; takes it. */
@@ -49,23 +49,24 @@
 }
 
 /** Expected ms for one token where the attempt is and where it could go. */
-export interface TokenTimes {
-  readonly hereMs: number;
-  readonly thereMs: number;
+export interface StragglerTimes {
+  readonly currentMs: number;
+  readonly targetMs: number;
   /** What it costs to go on there: reading prompt and output again. */
-  readonly moveMs: number;
+  readonly resumeMs: number;
 }
 
 /** Compares staying with going on elsewhere. */
-export function judgeStraggler(
+export function decideStragglerAction(
   attempt: Attempt,
   remainingTokens: number,
-  times: TokenTimes,
+  times: StragglerTimes,
   nowMs: number,
 ): StragglerAction {
-  if (nowMs - attempt.progressAtMs > QUIET_BEFORE_HEDGE_MS) return 'hedge';
-  const stayMs = remainingTokens * times.hereMs;
-  const goMs = remainingTokens * times.thereMs + times.moveMs;
-  const isWorthIt = stayMs > goMs * MIN_GAIN && stayMs - goMs > MIN_SAVED_MS;
+  if (nowMs - attempt.progressAtMs > STALLED_BEFORE_HEDGE_MS) return 'hedge';
+  const stayMs = remainingTokens * times.currentMs;
+  const moveMs = remainingTokens * times.targetMs + times.resumeMs;
+  const isWorthIt =
+    stayMs > moveMs * MIN_SPEEDUP && stayMs - moveMs > MIN_SAVED_MS;
   return isWorthIt ? 'move' : 'leave';
 }
--- a/packages/core/src/scheduling/suspect_list.ts
+++ b/packages/core/src/scheduling/suspect_list.ts
@@ -15,20 +15,20 @@
 /** Crashes after which a request is under suspicion. */
 const CRASHES_TO_SUSPECT = 2;
 /** Crashes as an accused; one may be another VM's doing. */
-const ACCUSATIONS_TO_CONVICT = 2;
+const ISOLATED_CRASHES_TO_CONVICT = 2;
 /** Crashes that no bystander is likely to have been beside. */
 const CRASHES_TO_CONVICT = 5;
 /** A fingerprint is forgotten after this long without a crash. */
 const FORGET_AFTER_MS = 30 * 60_000;
 const MAX_FINGERPRINTS = 10_000;
 /** The same news from the log and from a peer come within this time. */
-const COPY_MS = 5000;
-const MAX_REPORTED = 1000;
+const DUPLICATE_REPORT_MS = 5000;
+const MAX_REPORTS = 1000;
 
 interface CrashHistory {
   crashes: number;
-  accusations: number;
-  convicted: boolean;
+  isolatedCrashes: number;
+  isConvicted: boolean;
   lastCrashAtMs: number;
 }
 
@@ -48,57 +48,64 @@
    * Notes a crash here and what ran on the endpoint then. `accused` is the
    * suspect that was the only newcomer there, if there was one.
    */
-  noteCrash(
+  recordCrash(
     fingerprints: readonly string[],
     nowMs: number,
-    accused?: string,
+    isolated?: string,
   ): void {
-    const blamed = accused ? [accused] : [...new Set(fingerprints)];
-    for (const fingerprint of blamed) {
-      this.count(fingerprint, fingerprint === accused, nowMs);
+    const counted = isolated ? [isolated] : [...new Set(fingerprints)];
+    for (const fingerprint of counted) {
+      this.countCrash(fingerprint, fingerprint === isolated, nowMs);
     }
     this.prune(nowMs);
   }
 
   /** Notes what another VM tells of a crash: the accused alone, or all. */
-  noteReported(fingerprints: readonly string[], nowMs: number): void {
+  recordReportedCrash(fingerprints: readonly string[], nowMs: number): void {
     const key = [...fingerprints].sort().join();
-    const isCopy = nowMs - (this.reported.get(key) ?? -Infinity) < COPY_MS;
+    const isDuplicate =
+      nowMs - (this.reported.get(key) ?? -Infinity) < DUPLICATE_REPORT_MS;
     this.reported.delete(key);
     this.reported.set(key, nowMs);
-    if (this.reported.size > MAX_REPORTED) {
+    if (this.reported.size > MAX_REPORTS) {
       this.reported.delete(this.reported.keys().next().value!);
     }
-    if (isCopy) return;
+    if (isDuplicate) return;
     const [first] = fingerprints;
-    const isAccused =
+    const isIsolated =
       fingerprints.length === 1 && this.classify(first) === 'suspect';
-    this.noteCrash(fingerprints, nowMs, isAccused ? first : undefined);
+    this.recordCrash(fingerprints, nowMs, isIsolated ? first : undefined);
   }
 
   /** A request that ran to its end is not what crashes endpoints. */
-  noteFinished(fingerprint: string): void {
+  recordFinished(fingerprint: string): void {
     if (this.histories.size > 0) this.histories.delete(fingerprint);
   }
 
   classify(fingerprint: string): Suspicion {
     const history = this.histories.get(fingerprint);
     if (!history) return 'none';
-    if (history.convicted) return 'convicted';
+    if (history.isConvicted) return 'convicted';
     return history.crashes >= CRASHES_TO_SUSPECT ? 'suspect' : 'none';
   }
 
-  private count(fingerprint: string, accused: boolean, nowMs: number): void {
+  private countCrash(
+    fingerprint: string,
+    isIsolated: boolean,
+    nowMs: number,
+  ): void {
     const history = this.histories.get(fingerprint);
     const crashes = (history?.crashes ?? 0) + 1;
-    const accusations = (history?.accusations ?? 0) + (accused ? 1 : 0);
-    const convicted =
-      accusations >= ACCUSATIONS_TO_CONVICT || crashes >= CRASHES_TO_CONVICT;
+    const isolatedCrashes =
+      (history?.isolatedCrashes ?? 0) + (isIsolated ? 1 : 0);
+    const isConvicted =
+      isolatedCrashes >= ISOLATED_CRASHES_TO_CONVICT ||
+      crashes >= CRASHES_TO_CONVICT;
     this.histories.delete(fingerprint);
     this.histories.set(fingerprint, {
       crashes,
-      accusations,
-      convicted,
+      isolatedCrashes: isolatedCrashes,
+      isConvicted: isConvicted,
       lastCrashAtMs: nowMs,
     });
   }
--- a/packages/core/src/scheduling/token_bucket.ts
+++ b/packages/core/src/scheduling/token_bucket.ts
@@ -21,7 +21,7 @@
   }
 
   /** Adds tokens besides those that time brings. */
-  earn(count: number): void {
+  add(count: number): void {
     this.tokens = Math.min(this.capacity, this.tokens + count);
   }
 
@@ -35,6 +35,6 @@
   private refill(nowMs: number): void {
     const elapsedMs = Math.max(0, nowMs - this.refilledAtMs);
     this.refilledAtMs = Math.max(this.refilledAtMs, nowMs);
-    this.earn((elapsedMs * this.tokensPerSecond) / 1e3);
+    this.add((elapsedMs * this.tokensPerSecond) / 1e3);
   }
 }
--- a/packages/core/src/scheduling/work_ends.ts
+++ b/packages/core/src/scheduling/work_completion.ts
@@ -20,7 +20,7 @@
 import {WorkTimers} from './work_timers.js';
 
 /** Wait before work that an endpoint rejected is sent elsewhere, ms. */
-const REJECTED_WAIT_MS = 100;
+const REJECTED_RETRY_DELAY_MS = 100;
 
 /** An attempt that brought nothing whole. */
 interface FailedAttempt {
@@ -30,7 +30,7 @@
   readonly tokensReceived: number;
 }
 
-export class WorkEnds {
+export class WorkCompletion {
   private readonly deadlines = new WorkTimers();
   private readonly crashes: CrashTracker;
 
@@ -43,11 +43,11 @@
   }
 
   /** Gives the work up at its deadline, if it is still there. */
-  watch(work: WorkState): void {
+  watchDeadline(work: WorkState): void {
     this.deadlines.add(work, work.deadlineAtMs);
   }
 
-  end(attempt: Attempt, outcome: AttemptOutcome): void {
+  onAttemptEnd(attempt: Attempt, outcome: AttemptOutcome): void {
     switch (outcome.kind) {
       case 'finished':
         for (const {weightVersion} of outcome.spans) {
@@ -56,13 +56,13 @@
             weightVersion,
           );
         }
-        return this.finish(attempt, outcome.tokens);
+        return this.finishAttempt(attempt, outcome.tokens);
       case 'stopped':
         this.attempts.close(attempt);
         if (attempt.work.running.length > 0) return;
         return this.giveUp(attempt.work, createError('cancelled'));
       case 'failed':
-        return this.fail(attempt, outcome);
+        return this.failAttempt(attempt, outcome);
     }
   }
 
@@ -79,11 +79,14 @@
 
   /** Ends a work that has crashed endpoints often enough to be blamed for it. */
   giveUpSuspect(work: WorkState): void {
-    this.giveUp(work, createError('suspect_request', undefined, ranOf(work)));
+    this.giveUp(
+      work,
+      createError('suspect_request', undefined, getRanField(work)),
+    );
   }
 
   /** An answer that comes after its deadline is worth nothing: it is given now. */
-  expire(): void {
+  expireDue(): void {
     for (const work of this.deadlines.takeDue(this.state.nowMs)) {
       if (work.phase === 'over') continue;
       const kind =
@@ -95,9 +98,9 @@
   }
 
   /** The trainer of a step has moved on: output that is too old now is redone. */
-  raiseMinVersion(stepKey: string, min: number): void {
-    if (!this.state.freshness.raise(stepKey, min)) return;
-    for (const work of this.state.pace.listWorks(stepKey)) {
+  raiseMinVersion(stepKey: string, minVersion: number): void {
+    if (!this.state.stalenessBounds.raise(stepKey, minVersion)) return;
+    for (const work of this.state.pace.listWorkItems(stepKey)) {
       if (this.state.isPartialStale(work)) work.partial = undefined;
       for (const attempt of [...work.running]) {
         if (this.state.isStale(attempt)) this.restartStale(attempt);
@@ -110,14 +113,14 @@
    * one after the other; a rollout that never reached it has lost nothing and
    * waits on, bounded by its deadline.
    */
-  countAttempts(work: WorkState): number {
-    const forgives =
+  countChargedAttempts(work: WorkState): number {
+    const ignoresUnsent =
       this.state.options.forgiveUnsent && work.item.workClass === 'rollout';
-    return forgives ? work.sentAttempts : work.attempts;
+    return ignoresUnsent ? work.sentAttempts : work.attempts;
   }
 
   /** Keeps the longest output that is still of use. */
-  keepPartial(attempt: Attempt, failure: FailureKind): void {
+  savePartial(attempt: Attempt, failure: FailureKind): void {
     const {work, tokens, oldestVersion, number} = attempt;
     if (failure === 'stale' || tokens === 0 || this.state.isStale(attempt)) {
       if (this.state.isPartialStale(work)) work.partial = undefined;
@@ -128,20 +131,28 @@
     work.partial = {attempt: number, tokens, oldestVersion};
   }
 
-  private finish(attempt: Attempt, tokens: number): void {
+  private finishAttempt(attempt: Attempt, tokens: number): void {
     const {work, endpoint} = attempt;
     const {item} = work;
-    endpoint.health.noteAlive();
-    this.state.suspects.noteFinished(item.fingerprint);
+    endpoint.health.recordAlive();
+    this.state.suspects.recordFinished(item.fingerprint);
     if (item.workClass === 'rollout' && this.state.isStale(attempt)) {
       const failure = 'stale';
-      return this.fail(attempt, {failure, sent: true, tokensReceived: tokens});
+      return this.failAttempt(attempt, {
+        failure,
+        sent: true,
+        tokensReceived: tokens,
+      });
     }
-    const whole = Math.max(tokens, attempt.tokens);
-    this.state.lengths.noteFinished(item.groupKey, whole, item.maxTokens);
+    const totalTokens = Math.max(tokens, attempt.tokens);
+    this.state.lengths.recordFinished(
+      item.groupKey,
+      totalTokens,
+      item.maxTokens,
+    );
     this.attempts.close(attempt);
     this.attempts.stopAll(work);
-    this.removeWork(work, whole);
+    this.removeWork(work, totalTokens);
     this.state.emit({
       kind: 'done',
       workId: item.id,
@@ -149,26 +160,32 @@
     });
   }
 
-  private fail(attempt: Attempt, failed: FailedAttempt): void {
+  private failAttempt(attempt: Attempt, failed: FailedAttempt): void {
     const {work, endpoint} = attempt;
     const {failure, sent} = failed;
-    endpoint.health.noteFailure(failure, this.state.nowMs);
-    this.noteCrash(attempt, failure);
-    if (failure === 'rejected') endpoint.limit.noteRejected(this.state.nowMs);
+    endpoint.health.recordFailure(failure, this.state.nowMs);
+    this.recordCrash(attempt, failure);
+    if (failure === 'rejected')
+      endpoint.limit.recordRejection(this.state.nowMs);
     if (sent) work.sentAttempts++;
     attempt.tokens = Math.max(attempt.tokens, failed.tokensReceived);
     this.attempts.close(attempt);
-    this.keepPartial(attempt, failure);
+    this.savePartial(attempt, failure);
     if (work.running.length > 0) return;
     const {idempotent} = work.item;
     const rule = findRetryRule(failure, idempotent, sent, attempt.tokens);
     this.retryOrGiveUp(work, endpoint, rule, failure);
   }
 
-  private noteCrash(attempt: Attempt, failure: FailureKind): void {
-    const here = this.attempts.listAt(attempt.endpoint);
+  private recordCrash(attempt: Attempt, failure: FailureKind): void {
+    const endpointAttempts = this.attempts.listAt(attempt.endpoint);
     const {nowMs} = this.state;
-    const crash = this.crashes.noteFailure(attempt, here, failure, nowMs);
+    const crash = this.crashes.recordFailure(
+      attempt,
+      endpointAttempts,
+      failure,
+      nowMs,
+    );
     if (crash) this.state.emit({kind: 'report_crash', ...crash});
   }
 
@@ -180,19 +197,19 @@
   ): void {
     const {retries, suspects, nowMs} = this.state;
     const error = createFinalError(work, rule.error);
-    const isSpent = this.countAttempts(work) >= work.item.maxAttempts;
+    const isSpent = this.countChargedAttempts(work) >= work.item.maxAttempts;
     if (rule.action === 'give_up' || isSpent) return this.giveUp(work, error);
     if (suspects.classify(work.item.fingerprint) === 'convicted') {
       return this.giveUpSuspect(work);
     }
-    const budgetMs = retries.take(work.tenant, endpoint.id, nowMs);
+    const budgetMs = retries.takeRetry(work.tenant, endpoint.id, nowMs);
     const isInteractive = work.item.workClass === 'interactive';
     // An interactive caller is told at once rather than kept waiting for
     // retries that others have used up.
     if (budgetMs > 0 && isInteractive) return this.giveUp(work, error);
     work.lastError = error;
     work.lastEndpoint = endpoint.id;
-    const waitMs = failure === 'rejected' ? REJECTED_WAIT_MS : 0;
+    const waitMs = failure === 'rejected' ? REJECTED_RETRY_DELAY_MS : 0;
     this.queues.delay(work, Math.max(budgetMs, waitMs));
   }
 
@@ -210,19 +227,19 @@
   private removeWork(work: WorkState, finishedTokens = 0): void {
     work.phase = 'over';
     const {id, stepKey} = work.item;
-    this.state.works.delete(id);
+    this.state.workItems.delete(id);
     if (stepKey !== '') this.state.pace.remove(stepKey, work, finishedTokens);
   }
 }
 
 function createFinalError(work: WorkState, kind: ErrorKind): RadishyokeError {
   return createError(kind, undefined, {
-    ...ranOf(work),
+    ...getRanField(work),
     retryAfterMs: DEFAULT_RETRY_AFTER_MS,
   });
 }
 
 /** Whether the work can have run: only ever `no` when nothing was sent. */
-function ranOf(work: WorkState): Pick<RadishyokeError, 'ran'> {
+function getRanField(work: WorkState): Pick<RadishyokeError, 'ran'> {
   return work.sentAttempts === 0 ? {ran: 'no'} : {};
 }
--- a/packages/core/src/scheduling/work_dispatch.ts
+++ b/packages/core/src/scheduling/work_dispatcher.ts
@@ -3,20 +3,20 @@
 import type {EndpointId} from '@radishyoke/shared/ids';
 import type {AttemptTable} from './attempt_table.js';
 import type {EndpointGroup} from './endpoint_directory.js';
-import type {Choice} from './endpoint_pool.js';
+import type {EndpointRequirements} from './endpoint_pool.js';
 import type {EndpointState} from './endpoint_state.js';
 import type {WorkClass} from './scheduler.js';
 import type {SchedulerState} from './scheduler_state.js';
-import type {WorkEnds} from './work_ends.js';
+import type {WorkCompletion} from './work_completion.js';
 import type {WorkQueues} from './work_queues.js';
 import type {WorkState} from './work_state.js';
 
-export class WorkDispatch {
+export class WorkDispatcher {
   constructor(
     private readonly state: SchedulerState,
     private readonly queues: WorkQueues,
     private readonly attempts: AttemptTable,
-    private readonly ends: WorkEnds,
+    private readonly completion: WorkCompletion,
   ) {}
 
   /** Starts what has room now. */
@@ -34,51 +34,59 @@
   ): EndpointState | undefined {
     const {item} = work;
     const {directory, options} = this.state;
-    const madeTokens = work.partial?.tokens ?? 0;
-    const choice: Choice = {
+    const generatedTokens = work.partial?.tokens ?? 0;
+    const requirements: EndpointRequirements = {
       workClass: item.workClass,
       isRollout: item.workClass === 'rollout',
       minWeightVersion: this.state.findMinVersion(work),
       model: item.model,
-      promptTokens: item.promptTokens + madeTokens,
-      expectedTokens: work.expectedTokens - madeTokens,
+      promptTokens: item.promptTokens + generatedTokens,
+      expectedTokens: work.expectedTokens - generatedTokens,
       prefixKey: options.prefixAffinity ? item.prefixKey : '',
       isSuspect: work.phase === 'quarantined',
       avoid,
     };
-    return group.pool.choose(choice, directory.view, this.state.getView(group));
+    return group.pool.choose(
+      requirements,
+      directory.vmView,
+      this.state.getScoreView(group),
+    );
   }
 
   private dispatchClass(group: EndpointGroup, workClass: WorkClass): void {
     const {pool} = group;
     const queue = group.queues[workClass];
     if (queue.size === 0) return;
-    let drained = 0;
-    while (workClass === 'rollout' ? pool.hasOpen : pool.hasUsable) {
+    let drainedCost = 0;
+    while (workClass === 'rollout' ? pool.hasRolloutRoom : pool.hasUsable) {
       const work = queue.peek();
       if (!work) break;
-      if (this.queues.holdBack(work)) {
+      if (this.queues.holdIfCapped(work)) {
         queue.pop();
         continue;
       }
       const endpoint = this.chooseEndpoint(group, work);
       if (endpoint) {
         queue.pop();
-        drained += work.cost;
+        drainedCost += work.cost;
         this.attempts.start(work, endpoint);
         continue;
       }
-      if (!this.isChoosy(work)) break;
+      if (!this.mayLackEligibleEndpoint(work)) break;
       // The endpoints with room have older weights than this work needs, or
       // another model; others behind it may be content with them.
       queue.pop();
       this.queues.park(group, work);
     }
-    group.drains[workClass].note(this.state.nowMs, drained, queue.size > 0);
+    group.drainRates[workClass].record(
+      this.state.nowMs,
+      drainedCost,
+      queue.size > 0,
+    );
   }
 
   /** Whether some endpoints may not do for the work. */
-  private isChoosy(work: WorkState): boolean {
+  private mayLackEligibleEndpoint(work: WorkState): boolean {
     if (work.item.model !== undefined) return true;
     return this.state.findMinVersion(work) > 0;
   }
@@ -96,10 +104,10 @@
   private dispatchSuspect(group: EndpointGroup, work: WorkState): void {
     const {suspects, options} = this.state;
     if (suspects.classify(work.item.fingerprint) === 'convicted') {
-      return this.ends.giveUpSuspect(work);
+      return this.completion.giveUpSuspect(work);
     }
     const isAnotherRunning =
-      !options.parallelQuarantine && group.quarantineRunning.size > 0;
+      !options.parallelQuarantine && group.runningQuarantined.size > 0;
     const endpoint = isAnotherRunning
       ? undefined
       : this.chooseEndpoint(group, work);
@@ -113,10 +121,10 @@
     endpoint: EndpointState,
   ): void {
     const {id, fingerprint} = work.item;
-    group.quarantineRunning.add(work);
+    group.runningQuarantined.add(work);
     this.attempts.start(work, endpoint);
     endpoint.suspect = {workId: id, fingerprint};
-    endpoint.quarantined = true;
+    endpoint.isQuarantined = true;
     this.state.directory.refresh(endpoint, this.state.nowMs);
   }
 }
--- a/packages/core/src/scheduling/work_queues.ts
+++ b/packages/core/src/scheduling/work_queues.ts
@@ -10,7 +10,7 @@
 import {WorkTimers} from './work_timers.js';
 
 /** Parked works that may try again at one scan; a large step waits for weights as a whole. */
-const MAX_UNPARKED = 200;
+const MAX_UNPARKED_PER_SCAN = 200;
 
 export class WorkQueues {
   private readonly delayed = new WorkTimers();
@@ -19,10 +19,10 @@
 
   constructor(private readonly state: SchedulerState) {}
 
-  queue(work: WorkState): void {
+  enqueue(work: WorkState): void {
     const group = this.state.groupOf(work);
     const {item} = work;
-    work.setExpected(
+    work.setExpectedTokens(
       this.state.estimateLength(item, work.partial?.tokens ?? 0),
     );
     if (this.state.suspects.classify(item.fingerprint) !== 'none') {
@@ -36,10 +36,10 @@
   }
 
   /** Holds a work back if enough of its tenant or its step run. */
-  holdBack(work: WorkState): boolean {
+  holdIfCapped(work: WorkState): boolean {
     const {maxInFlight, stepKey} = work.item;
-    const ofTenant = this.tenantCap.countRunning(work.tenant);
-    if (maxInFlight !== undefined && ofTenant >= maxInFlight) {
+    const tenantRunning = this.tenantCap.countRunning(work.tenant);
+    if (maxInFlight !== undefined && tenantRunning >= maxInFlight) {
       work.phase = 'held_by_tenant';
       this.tenantCap.hold(work.tenant, work);
       return true;
@@ -58,7 +58,7 @@
 
   /** Queues the work after `waitMs`, or at once for 0. */
   delay(work: WorkState, waitMs: number): void {
-    if (waitMs <= 0) return this.queue(work);
+    if (waitMs <= 0) return this.enqueue(work);
     work.phase = 'delayed';
     work.notBeforeMs = this.state.nowMs + waitMs;
     this.delayed.add(work, work.notBeforeMs);
@@ -89,29 +89,29 @@
   }
 
   /** Counts an attempt of the work as running. */
-  noteStart(work: WorkState): void {
+  recordStart(work: WorkState): void {
     const {stepKey} = work.item;
-    this.tenantCap.noteStart(work.tenant);
-    if (stepKey !== '') this.stepCap.noteStart(stepKey);
+    this.tenantCap.recordStart(work.tenant);
+    if (stepKey !== '') this.stepCap.recordStart(stepKey);
   }
 
   /** Counts one fewer and queues what was held back for it. */
-  noteEnd(work: WorkState): void {
+  recordEnd(work: WorkState): void {
     const {tenant, stepKey} = work.item;
-    this.tenantCap.noteEnd(tenant);
-    const ofTenant = this.tenantCap.release(tenant);
-    if (ofTenant) this.queue(ofTenant);
+    this.tenantCap.recordEnd(tenant);
+    const tenantNext = this.tenantCap.release(tenant);
+    if (tenantNext) this.enqueue(tenantNext);
     if (stepKey === '') return;
-    this.stepCap.noteEnd(stepKey);
-    const ofStep = this.stepCap.release(stepKey);
-    if (ofStep) this.queue(ofStep);
+    this.stepCap.recordEnd(stepKey);
+    const stepNext = this.stepCap.release(stepKey);
+    if (stepNext) this.enqueue(stepNext);
   }
 
   releaseDelayed(): void {
     const {nowMs} = this.state;
     for (const work of this.delayed.takeDue(nowMs)) {
       if (work.phase === 'delayed' && work.notBeforeMs <= nowMs) {
-        this.queue(work);
+        this.enqueue(work);
       }
     }
   }
@@ -119,26 +119,26 @@
   /** Lets parked works try again, a few at a time. */
   releaseParked(group: EndpointGroup): void {
     if (group.parked.length === 0) return;
-    let room = MAX_UNPARKED;
+    let room = MAX_UNPARKED_PER_SCAN;
     const {parked} = group;
     group.parked = [];
     for (const work of parked) {
-      const min = this.state.findMinVersion(work);
-      if (room === 0 || min > group.pool.newestVersion) {
+      const minVersion = this.state.findMinVersion(work);
+      if (room === 0 || minVersion > group.pool.newestVersion) {
         group.parked.push(work);
         continue;
       }
       room--;
-      this.queue(work);
+      this.enqueue(work);
     }
   }
 
   /** Works out how many samples of each step may run, and queues these. */
-  updatePace(): void {
+  updateStepTargets(): void {
     const {pace} = this.state;
     for (const stepKey of pace.stepKeys) {
-      const [work] = pace.listWorks(stepKey);
-      pace.update(stepKey, this.state.groupOf(work).pool.usableCount);
+      const [work] = pace.listWorkItems(stepKey);
+      pace.updateTarget(stepKey, this.state.groupOf(work).pool.usableCount);
       this.releaseStep(stepKey);
     }
   }
@@ -147,7 +147,7 @@
     for (let room = this.measureStepRoom(stepKey); room > 0; room--) {
       const work = this.stepCap.release(stepKey);
       if (!work) return;
-      this.queue(work);
+      this.enqueue(work);
     }
   }
 
--- a/packages/core/src/scheduling/work_state.ts
+++ b/packages/core/src/scheduling/work_state.ts
@@ -74,11 +74,11 @@
 
   /** Tokens of its output so far, by the attempt that is furthest. */
   get tokens(): number {
-    let most = this.partial?.tokens ?? 0;
+    let maxTokens = this.partial?.tokens ?? 0;
     for (const attempt of this.running) {
-      most = Math.max(most, attempt.tokens);
+      maxTokens = Math.max(maxTokens, attempt.tokens);
     }
-    return most;
+    return maxTokens;
   }
 
   get tenant(): TenantId {
@@ -93,15 +93,15 @@
     return this.item.deadlineAtMs;
   }
 
-  get begun(): boolean {
+  get isStarted(): boolean {
     return this.attempts > 0;
   }
 
   /** Sets what is left to generate, which orders the queue. */
-  setExpected(expectedTokens: number): void {
+  setExpectedTokens(expectedTokens: number): void {
     this.expectedTokens = expectedTokens;
-    const left = Math.max(1, expectedTokens - (this.partial?.tokens ?? 0));
-    this.cost = measureCost(this.item, left);
+    const remaining = Math.max(1, expectedTokens - (this.partial?.tokens ?? 0));
+    this.cost = measureCost(this.item, remaining);
   }
 }
 
--- a/packages/core/src/scheduling/work_timers.ts
+++ b/packages/core/src/scheduling/work_timers.ts
@@ -6,13 +6,15 @@
 /** Timers kept before those of ended works are looked for. */
 const MIN_PRUNED_TIMERS = 1000;
 
-interface Timed {
+interface WorkTimer {
   readonly atMs: number;
   readonly work: WorkState;
 }
 
 export class WorkTimers {
-  private readonly timers = new BinaryHeap<Timed>((a, b) => a.atMs < b.atMs);
+  private readonly timers = new BinaryHeap<WorkTimer>(
+    (a, b) => a.atMs < b.atMs,
+  );
   private pruneAt = MIN_PRUNED_TIMERS;
 
   add(work: WorkState, atMs: number): void {
--- a/packages/core/src/simulation/membership_network.ts
+++ b/packages/core/src/simulation/membership_network.ts
@@ -12,7 +12,7 @@
 } from '../membership/membership_message.js';
 import {
   createRandomBits,
-  drawBelow,
+  pickRandomBelow,
   RandomBits,
 } from '../scheduling/random_bits.js';
 
@@ -99,7 +99,7 @@
   silenceSome(percent: number): void {
     for (const a of this.nodes) {
       for (const b of a.machine.listNeighbours()) {
-        if (drawBelow(this.random, 100) < percent)
+        if (pickRandomBelow(this.random, 100) < percent)
           this.silent.add(`${a.vm.id}>${b}`);
       }
     }
@@ -160,9 +160,10 @@
     const target = this.byId.get(to)!;
     if (!this.reachable(from.vm, target.vm)) return;
     if (this.silent.has(`${from.vm.id}>${to}`)) return;
-    if (drawBelow(this.random, 100) < (this.options.lossPercent ?? 0)) return;
+    if (pickRandomBelow(this.random, 100) < (this.options.lossPercent ?? 0))
+      return;
     const far = from.vm.dataCentre !== target.vm.dataCentre;
-    const delayMs = 1 + drawBelow(this.random, far ? 40 : 3);
+    const delayMs = 1 + pickRandomBelow(this.random, far ? 40 : 3);
     const slot = (this.nowMs + delayMs) % this.queue.length;
     const atMs = this.nowMs + delayMs;
     const event = {kind: 'message', from: from.vm.id, message} as const;
--- a/packages/daemon/src/admin/vm_admin_backend.ts
+++ b/packages/daemon/src/admin/vm_admin_backend.ts
@@ -92,7 +92,7 @@
       ready: this.options.isReady(),
       draining: this.options.isDraining(),
       startedAtMs: this.startedAtMs,
-      works: dispatcher.scheduler.countWorks(),
+      works: dispatcher.scheduler.countWorkItems(),
       log: {
         lastReadAtMs,
         outageSinceMs: outageSinceMs ?? null,
--- a/packages/daemon/src/gateway/batches/reward_task.ts
+++ b/packages/daemon/src/gateway/batches/reward_task.ts
@@ -13,7 +13,7 @@
   type RewardEnd,
 } from '@radishyoke/core/rewards/reward_desk';
 import {
-  drawFromId,
+  hashToUnitInterval,
   pickService,
   type Route,
 } from '@radishyoke/core/routing/route_table';
@@ -98,7 +98,7 @@
     const name = () => fingerprintReward(job, reward);
     if (crashes.isHeld(name) || crashes.isAsked(name)) return undefined;
     const route = this.findRoute(reward);
-    const service = route && pickService(route, drawFromId(reward.id));
+    const service = route && pickService(route, hashToUnitInterval(reward.id));
     if (service === undefined) return undefined;
     const {roster, view} = this.parts;
     const usable = roster.listUsable(service, nowMs);
--- a/packages/daemon/src/gateway/endpoints/endpoint_view.ts
+++ b/packages/daemon/src/gateway/endpoints/endpoint_view.ts
@@ -1,7 +1,7 @@
 /** What this VM has seen of plain endpoints, for choosing among them. */
 
 import type {EndpointEntry} from '@radishyoke/core/fleet/endpoint_entry';
-import type {EndpointChoice} from '@radishyoke/core/routing/endpoint_choice';
+import type {EndpointCandidate} from '@radishyoke/core/routing/endpoint_choice';
 import type {ExchangeOutcome} from './endpoint_exchange.js';
 import type {EndpointLoad} from './endpoint_protocol.js';
 
@@ -20,7 +20,7 @@
 export class EndpointView {
   private readonly seen = new Map<string, Seen>();
 
-  describe(entry: EndpointEntry, nowMs: number): EndpointChoice {
+  describe(entry: EndpointEntry, nowMs: number): EndpointCandidate {
     const seen = this.open(entry);
     const isRecent = nowMs - seen.reportedAtMs < REPORT_TRUST_MS;
     return {
@@ -28,7 +28,7 @@
       slots: entry.slots,
       dataCentre: entry.dataCentre,
       inFlight: seen.inFlight,
-      reported: isRecent ? seen.reported : 0,
+      reportedLoad: isRecent ? seen.reported : 0,
       failures: seen.failures,
       failedAtMs: seen.failedAtMs,
     };
--- a/packages/daemon/src/gateway/requests/forwarder.ts
+++ b/packages/daemon/src/gateway/requests/forwarder.ts
@@ -6,11 +6,14 @@
 import type {EndpointEntry} from '@radishyoke/core/fleet/endpoint_entry';
 import {
   type AttemptEnd,
-  decideNext,
+  decideNextStep,
   measureHedgeMs,
   type RequestTerms,
 } from '@radishyoke/core/routing/attempt_policy';
-import {drawFromId, pickService} from '@radishyoke/core/routing/route_table';
+import {
+  hashToUnitInterval,
+  pickService,
+} from '@radishyoke/core/routing/route_table';
 import {createError, type RadishyokeError} from '@radishyoke/shared/error_kind';
 import type {ServerResponse} from 'node:http';
 import {judgeEnd} from '../crashes/watched_request.js';
@@ -79,7 +82,7 @@
     };
     const {attemptId} = req;
     const draw =
-      attemptId === undefined ? Math.random() : drawFromId(attemptId);
+      attemptId === undefined ? Math.random() : hashToUnitInterval(attemptId);
     this.service = pickService(route, draw);
     this.guard = new RequestGuard(parts, req);
     this.outcome = new Promise(resolve => (this.resolve = resolve));
@@ -183,7 +186,7 @@
       this.notRun += 1;
     }
     const tally = {ran: this.ran, notRun: this.notRun};
-    const next = decideNext(this.terms, toAttemptEnd(outcome), tally);
+    const next = decideNextStep(this.terms, toAttemptEnd(outcome), tally);
     switch (next.kind) {
       case 'pass_on':
         if (outcome.kind !== 'answered') return;
--- a/packages/daemon/src/gateway/requests/front_server.ts
+++ b/packages/daemon/src/gateway/requests/front_server.ts
@@ -4,7 +4,10 @@
  */
 
 import http from 'node:http';
-import {canonicalHost, type Route} from '@radishyoke/core/routing/route_table';
+import {
+  canonicalizeHost,
+  type Route,
+} from '@radishyoke/core/routing/route_table';
 import {createError, type RadishyokeError} from '@radishyoke/shared/error_kind';
 import {listenAt} from '@radishyoke/wire/listen';
 import {readBody} from '@radishyoke/wire/request_body';
@@ -147,7 +150,7 @@
       if (!admitted.ok) return this.refuse(req, res, admitted.error);
       return batches.answer(call.value, admitted.value, res);
     }
-    const host = canonicalHost(req.headers.host ?? '');
+    const host = canonicalizeHost(req.headers.host ?? '');
     const route = await this.findRoute(host, path);
     if (!route.ok) {
       req.resume();
--- a/packages/daemon/src/gateway/requests/stream_call.ts
+++ b/packages/daemon/src/gateway/requests/stream_call.ts
@@ -10,10 +10,13 @@
 import type {EndpointEntry} from '@radishyoke/core/fleet/endpoint_entry';
 import {
   type AttemptEnd,
-  decideNext,
+  decideNextStep,
   type RequestTerms,
 } from '@radishyoke/core/routing/attempt_policy';
-import {drawFromId, pickService} from '@radishyoke/core/routing/route_table';
+import {
+  hashToUnitInterval,
+  pickService,
+} from '@radishyoke/core/routing/route_table';
 import {createError, type RadishyokeError} from '@radishyoke/shared/error_kind';
 import {judgeEnd, type WatchedRequest} from '../crashes/watched_request.js';
 import {
@@ -75,7 +78,7 @@
       objectiveMs: route.objectiveMs,
     };
     const draw =
-      attemptId === undefined ? Math.random() : drawFromId(attemptId);
+      attemptId === undefined ? Math.random() : hashToUnitInterval(attemptId);
     this.service = pickService(route, draw);
     this.guard = new RequestGuard(parts, req);
   }
@@ -198,7 +201,7 @@
       this.notRun += 1;
     }
     const tally = {ran: this.ran, notRun: this.notRun};
-    switch (decideNext(this.terms, toAttemptEnd(outcome), tally).kind) {
+    switch (decideNextStep(this.terms, toAttemptEnd(outcome), tally).kind) {
       case 'try_again':
         return undefined;
       case 'refuse':
--- a/packages/daemon/src/gateway/usage/usage_meter.ts
+++ b/packages/daemon/src/gateway/usage/usage_meter.ts
@@ -4,7 +4,7 @@
  */
 
 import type {Caller} from '@radishyoke/core/accounts/client_account';
-import {drawFromId} from '@radishyoke/core/routing/route_table';
+import {hashToUnitInterval} from '@radishyoke/core/routing/route_table';
 import type {UsageEntry} from '@radishyoke/core/usage/usage_record';
 import {UsageTally} from '@radishyoke/core/usage/usage_tally';
 import {setTimeout as sleep} from 'node:timers/promises';
@@ -37,7 +37,7 @@
     windowMs: number,
   ) {
     this.tally = new UsageTally(windowMs);
-    const draw = drawFromId(cfg.vmName);
+    const draw = hashToUnitInterval(cfg.vmName);
     this.partition = Math.floor(draw * store.partitions);
   }
 
