--- a/packages/core/src/__tests__/naive_fair_queue.ts
+++ b/packages/core/src/__tests__/naive_fair_queue.ts
@@ -1,4 +1,4 @@
-/** Fair queueing by a scan of everything; the shortest obviously right version. */
+/** Fair queueing by a linear scan: a simple reference for the optimized queue. */
 
 import type {QueueEntry} from '../scheduling/fair_queue.js';
 
@@ -23,7 +23,10 @@
     tenant.entries.push(entry);
   }
 
-  /** Tenants that may be next: several where their clocks are level. */
+  /**
+   * Returns the tenants that may be next; several if their virtual times are
+   * equal.
+   */
   listNextTenants(): readonly string[] {
     const busy = [...this.tenants].filter(([, t]) => t.entries.length > 0);
     const least = Math.min(...busy.map(([, t]) => t.virtualStart));
@@ -32,7 +35,7 @@
       .map(([name]) => name);
   }
 
-  /** Takes the tenant's best entry. */
+  /** Removes and returns the tenant's first entry. */
   popOf(name: string): T {
     const tenant = this.tenants.get(name)!;
     this.virtualNow = tenant.virtualStart;
--- a/packages/core/src/__tests__/scheduler_faults.spec.ts
+++ b/packages/core/src/__tests__/scheduler_faults.spec.ts
@@ -14,7 +14,7 @@
   createWork,
 } from './scheduler_fixture.js';
 
-/** One scheduler, its clock, and where each work's last attempt runs. */
+/** A scheduler with its clock, its actions and each work item's latest attempt. */
 class SchedulerHarness {
   nowMs = 0;
   readonly actions: SchedulerAction[] = [];
@@ -63,7 +63,7 @@
     this.handle({kind: 'ended', workId, attempt, outcome});
   }
 
-  /** Fails all works whose last attempt runs at the endpoint. */
+  /** Fails all work items whose latest attempt runs on the endpoint. */
   crash(endpoint: string): void {
     const lost = [...this.lastAttempts].filter(
       ([, at]) => at.endpoint === endpoint,
@@ -99,86 +99,79 @@
   return Array.from({length: count}, (_, i) => `w${i}`);
 }
 
-// Work goes to an endpoint that is about to go, and is cut off there.
-// 1. An engine reports that it leaves; the VM list still calls it live.
-// 2. The list is read again, unchanged.
-// Cause: the older source was believed over the newer one.
-test('an endpoint that says it leaves gets nothing new', t => {
-  const bench = createHarness('a', 'b');
-  bench.report('a', {leaving: true});
-  bench.handle({
+// Guards against work being cut off on an endpoint that is about to leave: the
+// engine has reported it, but the outdated VM list still shows it as live.
+test('an endpoint that reports leaving receives no new work', t => {
+  const harness = createHarness('a', 'b');
+  harness.report('a', {leaving: true});
+  harness.handle({
     kind: 'endpoints',
     endpoints: [createEndpoint('a'), createEndpoint('b')],
   });
   const names = createNames(6);
-  bench.add(...names.map(name => createWork(name)));
-  t.true(names.every(name => bench.endpointOf(name) === 'b'));
+  harness.add(...names.map(name => createWork(name)));
+  t.true(names.every(name => harness.endpointOf(name) === 'b'));
 });
 
-// A healthy engine is left unused because one connection to it went silent.
-// 1. One attempt shows nothing for the progress timeout; others do well.
-// 2. New work comes for the only engine.
-// Cause: the connection's failure was taken for the endpoint's.
-test('a silent connection does not make a dead endpoint', t => {
-  const bench = createHarness('a');
-  bench.add(createWork('w0'), createWork('w1'));
-  bench.fail('w0', 'silent');
-  bench.add(createWork('w2'));
-  t.is(bench.endpointOf('w2'), 'a');
-  t.is(bench.endpointOf('w0'), 'a');
-  t.is(bench.lastAttempts.get('w0')!.attempt, 2);
+// Guards against leaving a healthy engine unused after one of its connections went
+// silent, while other attempts on it make progress.
+test('a silent connection does not make its endpoint unusable', t => {
+  const harness = createHarness('a');
+  harness.add(createWork('w0'), createWork('w1'));
+  harness.fail('w0', 'silent');
+  harness.add(createWork('w2'));
+  t.is(harness.endpointOf('w2'), 'a');
+  t.is(harness.endpointOf('w0'), 'a');
+  t.is(harness.lastAttempts.get('w0')!.attempt, 2);
 });
 
-// A long sample is generated anew after a crash, and the step waits for it.
-// 1. A sample has 60 tokens when its engine crashes.
-// 2. It is started on another engine.
-// Cause: the output that had been received was thrown away.
-test('after a crash a rollout goes on from its output elsewhere', t => {
-  const bench = createHarness('a', 'b');
-  bench.add(createWork('w0'));
-  const first = bench.endpointOf('w0')!;
-  bench.progress('w0', 60);
-  bench.fail('w0', 'crashed', 60);
-  const start = bench.actions.filter(action => action.kind === 'start').at(-1);
+// Guards against a step that waits for a long sample generated twice because the
+// output received before an engine's crash was discarded.
+test('after a crash a rollout resumes from its output on another endpoint', t => {
+  const harness = createHarness('a', 'b');
+  harness.add(createWork('w0'));
+  const first = harness.endpointOf('w0')!;
+  harness.progress('w0', 60);
+  harness.fail('w0', 'crashed', 60);
+  const start = harness.actions
+    .filter(action => action.kind === 'start')
+    .at(-1);
   t.like(start, {attempt: 2, resumeTokens: 60, resumeAttempt: 1});
-  t.not(bench.endpointOf('w0'), first);
+  t.not(harness.endpointOf('w0'), first);
 });
 
-// One request takes down one engine after the other, and others are refused.
-// 1. A poisonous sample crashes its engine four times, twice with no other
-//    newcomer there.
-// 2. Its caller sends it once more.
-// Cause: nobody connects the crashes, or all that were beside them are blamed.
-test('a poisonous request is refused and those beside it are not', t => {
-  const bench = createHarness('a', 'b', 'c');
+// Guards against a request that crashes one engine after another, and against
+// refusing the innocent requests in flight there. The sample crashes its engine
+// four times, twice as an isolated suspect, and is then sent again.
+test('a request that crashes engines is refused and others in flight are not', t => {
+  const harness = createHarness('a', 'b', 'c');
   const healthy = createNames(6);
   const works = [...healthy, 'poison'].map(id =>
     createWork(id, {maxAttempts: 6}),
   );
-  bench.add(...works);
+  harness.add(...works);
   let crashes = 0;
-  for (; crashes < 10 && !bench.outcomeOf('poison'); crashes++) {
-    const endpoint = bench.endpointOf('poison');
-    if (endpoint) bench.crash(endpoint);
-    bench.wait(1000);
-    for (const id of ['a', 'b', 'c']) bench.report(id, {});
-    bench.wait(100);
+  for (; crashes < 10 && !harness.outcomeOf('poison'); crashes++) {
+    const endpoint = harness.endpointOf('poison');
+    if (endpoint) harness.crash(endpoint);
+    harness.wait(1000);
+    for (const id of ['a', 'b', 'c']) harness.report(id, {});
+    harness.wait(100);
   }
-  t.is(bench.outcomeOf('poison'), 'suspect_request');
+  t.is(harness.outcomeOf('poison'), 'suspect_request');
   t.is(crashes, 4);
-  bench.wait(1000);
-  for (const name of healthy) bench.finish(name);
-  t.true(healthy.every(name => bench.outcomeOf(name) === 'done'));
-  bench.add(createWork('again', {fingerprint: 'poison'}));
-  t.is(bench.outcomeOf('again'), 'suspect_request');
+  harness.wait(1000);
+  for (const name of healthy) harness.finish(name);
+  t.true(healthy.every(name => harness.outcomeOf(name) === 'done'));
+  harness.add(createWork('again', {fingerprint: 'poison'}));
+  t.is(harness.outcomeOf('again'), 'suspect_request');
 });
 
-// A request that kills a plain service does so again and again.
-// 1. Its connection breaks; the service refuses the next connection.
-// 2. The same happens again, and twice with the request alone on the endpoint.
-// Cause: services don't tell of a crash as engines do, so none was counted.
-test('a service that refuses connections after broken ones has crashed', t => {
-  const bench = createHarness('a');
+// Guards against a request that crashes a plain service repeatedly. Services don't
+// report a crash as engines do; it shows as a broken connection followed by a
+// refused one, or as a broken one while the request is isolated on the endpoint.
+test('a service that refuses connections after broken ones counts as crashed', t => {
+  const harness = createHarness('a');
   const create = (id: string, fingerprint = 'poison') =>
     createWork(id, {
       workClass: 'interactive',
@@ -187,194 +180,188 @@
       fingerprint,
     });
   for (const id of ['first', 'second']) {
-    bench.add(create(id));
-    bench.fail(id, 'connection_lost');
-    bench.wait(3000);
-    bench.add(create(`${id}-probe`, 'probe'));
-    bench.fail(`${id}-probe`, 'connect_failed');
-    bench.wait(20_000);
+    harness.add(create(id));
+    harness.fail(id, 'connection_lost');
+    harness.wait(3000);
+    harness.add(create(`${id}-probe`, 'probe'));
+    harness.fail(`${id}-probe`, 'connect_failed');
+    harness.wait(20_000);
   }
-  const crashes = bench.actions.filter(a => a.kind === 'report_crash');
+  const crashes = harness.actions.filter(a => a.kind === 'report_crash');
   t.is(crashes.length, 2);
   for (const id of ['third', 'fourth']) {
-    bench.add(create(id));
-    bench.fail(id, 'connection_lost');
-    bench.wait(20_000);
+    harness.add(create(id));
+    harness.fail(id, 'connection_lost');
+    harness.wait(20_000);
   }
-  bench.add(create('fifth'));
-  t.is(bench.outcomeOf('fifth'), 'suspect_request');
+  harness.add(create('fifth'));
+  t.is(harness.outcomeOf('fifth'), 'suspect_request');
 });
 
-// A trainer is handed a rollout that is older than the bound.
-// 1. A sample is made under version 3; the trainer moves on meanwhile.
-// 2. The bound is 4 when the sample is complete.
-// Cause: the bound was checked when the work was queued, and not again.
-test('output that has become stale is made again or given up', t => {
-  const bench = createHarness('a');
-  bench.report('a', {weightVersion: 3});
+// Guards against delivering a rollout older than the bound: it is generated with
+// version 3, and the bound rises to 4 before it is complete.
+test('output that has become stale is generated again or given up', t => {
+  const harness = createHarness('a');
+  harness.report('a', {weightVersion: 3});
   const work = createWork('w0', {
     stepKey: 's',
     minWeightVersion: 3,
     maxAttempts: 2,
   });
-  bench.add(work);
-  bench.report('a', {weightVersion: 4});
+  harness.add(work);
+  harness.report('a', {weightVersion: 4});
   const minWeightVersion = 4;
-  bench.handle({kind: 'min_version', stepKey: 's', minWeightVersion});
-  bench.finish('w0', 3);
-  t.is(bench.outcomeOf('w0'), undefined);
-  bench.wait(100);
-  bench.lastAttempts.set('w0', {attempt: 2, endpoint: 'a'});
-  bench.finish('w0', 3);
-  t.is(bench.outcomeOf('w0'), 'not_fresh_in_time');
+  harness.handle({kind: 'min_version', stepKey: 's', minWeightVersion});
+  harness.finish('w0', 3);
+  t.is(harness.outcomeOf('w0'), undefined);
+  harness.wait(100);
+  harness.lastAttempts.set('w0', {attempt: 2, endpoint: 'a'});
+  harness.finish('w0', 3);
+  t.is(harness.outcomeOf('w0'), 'not_fresh_in_time');
 });
 
-// A trainer is handed samples of another model.
-// 1. Two engines of one group serve different models, and one is full.
-// Cause: only the group was looked at.
-test('work goes to engines of its model and does not hold up others', t => {
-  const bench = createHarness();
+// Guards against samples of the wrong model when two engines of one group serve
+// different models and one of them is full.
+test('work runs on engines of its model and does not block other models', t => {
+  const harness = createHarness();
   const endpoints = ['a', 'b'].map(id => ({
     ...createEndpoint(id),
     model: `model-${id}`,
   }));
-  bench.handle({kind: 'endpoints', endpoints});
+  harness.handle({kind: 'endpoints', endpoints});
   const names = createNames(100);
-  bench.add(...names.map(name => createWork(name, {model: 'model-a'})));
-  bench.add(createWork('other', {model: 'model-b'}));
-  t.is(bench.endpointOf('other'), 'b');
-  const started = names.filter(name => bench.lastAttempts.has(name));
+  harness.add(...names.map(name => createWork(name, {model: 'model-a'})));
+  harness.add(createWork('other', {model: 'model-b'}));
+  t.is(harness.endpointOf('other'), 'b');
+  const started = names.filter(name => harness.lastAttempts.has(name));
   t.true(started.length > 0 && started.length < 100);
-  t.true(started.every(name => bench.endpointOf(name) === 'a'));
-  while (bench.scheduler.countWorkItems() > 0) {
-    for (const name of [...bench.lastAttempts.keys()]) bench.finish(name);
-    bench.wait(300);
+  t.true(started.every(name => harness.endpointOf(name) === 'a'));
+  while (harness.scheduler.countWorkItems() > 0) {
+    for (const name of [...harness.lastAttempts.keys()]) harness.finish(name);
+    harness.wait(300);
   }
-  t.true(names.every(name => bench.outcomeOf(name) === 'done'));
+  t.true(names.every(name => harness.outcomeOf(name) === 'done'));
 });
 
-// Engines spend their time on what will be thrown away.
-// 1. A step wants version 2; the engine still reports 1.
-// 2. The engine reports 2.
-// Cause: work was begun on weights that the bound already excludes.
-test('work that can not be fresh is not begun until it can', t => {
-  const bench = createHarness('a');
-  bench.report('a', {weightVersion: 1});
-  bench.add(createWork('w0', {stepKey: 's', minWeightVersion: 2}));
-  t.is(bench.endpointOf('w0'), undefined);
-  bench.report('a', {weightVersion: 2});
-  bench.wait(300);
-  t.is(bench.endpointOf('w0'), 'a');
+// Guards against generating output that will be discarded: the step requires
+// version 2, and the engine still reports version 1.
+test('work does not start before an engine has weights within its bound', t => {
+  const harness = createHarness('a');
+  harness.report('a', {weightVersion: 1});
+  harness.add(createWork('w0', {stepKey: 's', minWeightVersion: 2}));
+  t.is(harness.endpointOf('w0'), undefined);
+  harness.report('a', {weightVersion: 2});
+  harness.wait(300);
+  t.is(harness.endpointOf('w0'), 'a');
 });
 
-// A sample under way is already over the bound and runs on to its end.
-// 1. A sample has output of version 1; the bound rises to 2.
-// Cause: only whole output was compared with the bound.
-test('a running sample over the bound is stopped and begun anew', t => {
-  const bench = createHarness('a');
-  bench.report('a', {weightVersion: 1});
-  bench.add(createWork('w0', {stepKey: 's', minWeightVersion: 1}));
-  bench.progress('w0', 10, 1);
-  bench.report('a', {weightVersion: 2, measuredAtMs: bench.nowMs + 1});
-  bench.handle({kind: 'min_version', stepKey: 's', minWeightVersion: 2});
-  bench.wait(300);
-  t.is(bench.actions.filter(action => action.kind === 'stop').length, 1);
-  t.is(bench.lastAttempts.get('w0')!.attempt, 2);
+// Guards against checking only complete output: a running sample has output of
+// version 1 when the bound rises to 2.
+test('a running sample older than the bound is stopped and restarted', t => {
+  const harness = createHarness('a');
+  harness.report('a', {weightVersion: 1});
+  harness.add(createWork('w0', {stepKey: 's', minWeightVersion: 1}));
+  harness.progress('w0', 10, 1);
+  harness.report('a', {weightVersion: 2, measuredAtMs: harness.nowMs + 1});
+  harness.handle({kind: 'min_version', stepKey: 's', minWeightVersion: 2});
+  harness.wait(300);
+  t.is(harness.actions.filter(action => action.kind === 'stop').length, 1);
+  t.is(harness.lastAttempts.get('w0')!.attempt, 2);
 });
 
-// An app's request waits behind a trainer's flood.
-// 1. A thousand rollouts are queued; each engine runs as many as it may.
-// 2. An interactive request comes.
-// Cause: rollouts had taken every slot.
-test('an interactive request starts at once under a flood of rollouts', t => {
-  const bench = createHarness('a', 'b');
-  bench.add(...createNames(1000).map(name => createWork(name)));
-  const started = bench.lastAttempts.size;
+// Guards against rollouts occupying every slot: an interactive request arrives
+// while 1000 rollouts are queued and all engines run as many as they may.
+test('an interactive request starts immediately under a flood of rollouts', t => {
+  const harness = createHarness('a', 'b');
+  harness.add(...createNames(1000).map(name => createWork(name)));
+  const started = harness.lastAttempts.size;
   t.true(started > 10 && started < 100, `${started} started`);
-  bench.handle({
+  harness.handle({
     kind: 'enqueue',
     work: createWork('app', {workClass: 'interactive'}),
   });
-  t.truthy(bench.endpointOf('app'));
+  t.truthy(harness.endpointOf('app'));
 });
 
-// A caller waits for an answer that was never going to come.
-// 1. As many works of a tenant wait as its rule allows, or time runs out.
-// Cause: the refusal was held back until some timeout.
-test('what is refused for want of room or time is told at once', t => {
-  const bench = createHarness('a');
-  bench.add(...createNames(50).map(name => createWork(name)));
-  const actions = bench.handle({
+// Guards against a caller that waits for a timeout although its request is already
+// refused for a full queue or a passed deadline.
+test('a request without room or time is refused immediately', t => {
+  const harness = createHarness('a');
+  harness.add(...createNames(50).map(name => createWork(name)));
+  const actions = harness.handle({
     kind: 'enqueue',
     work: createWork('late', {maxQueue: 10}),
   });
   t.like(actions[0], {kind: 'give_up', error: {kind: 'overloaded'}});
   const [refused] = actions;
   t.true(refused.kind === 'give_up' && refused.error.retryAfterMs! > 0);
-  bench.handle({
+  harness.handle({
     kind: 'enqueue',
-    work: createWork('short', {deadlineAtMs: bench.nowMs + 500}),
+    work: createWork('short', {deadlineAtMs: harness.nowMs + 500}),
   });
-  bench.wait(500);
-  const expired = bench.actions.find(
+  harness.wait(500);
+  const expired = harness.actions.find(
     a => a.kind === 'give_up' && a.workId === 'short',
   );
   t.like(expired, {error: {kind: 'deadline_passed', ran: 'no'}});
 });
 
-// A large step comes back with most of its samples missing.
-// 1. A step has more samples than the rule lets a tenant queue.
-// 2. A second step of the tenant comes while the first waits.
-// Cause: the bound was held against samples rather than steps.
-test('a step is taken whole or not at all', t => {
-  const bench = createHarness('a');
+// Guards against a step that loses samples because it has more of them than the
+// rule lets a tenant queue. A second step is refused while the first one waits.
+test('a step is admitted completely or not at all', t => {
+  const harness = createHarness('a');
   const create = (stepKey: string) =>
     createNames(100).map(name =>
       createWork(`${stepKey}-${name}`, {stepKey, maxQueue: 10}),
     );
-  bench.add(...create('s1'));
-  t.is(bench.scheduler.countWorkItems(), 100);
-  bench.add(...create('s2'));
-  t.is(bench.scheduler.countWorkItems(), 100);
-  t.is(bench.outcomeOf('s2-w99'), 'overloaded');
+  harness.add(...create('s1'));
+  t.is(harness.scheduler.countWorkItems(), 100);
+  harness.add(...create('s2'));
+  t.is(harness.scheduler.countWorkItems(), 100);
+  t.is(harness.outcomeOf('s2-w99'), 'overloaded');
 });
 
-// A step waits for a sample on a slow engine while others stand idle.
-// 1. Two samples run; one engine makes a tenth of the other's tokens.
-// Cause: a sample stayed where it was begun.
+// Guards against a step that waits for samples on an engine ten times slower than
+// another one that has room.
 test('a straggler moves to a faster endpoint with its output', t => {
-  const bench = createHarness('a', 'b');
+  const harness = createHarness('a', 'b');
   const names = createNames(8);
-  bench.add(...names.map(name => createWork(name, {maxTokens: 10_000})));
+  harness.add(...names.map(name => createWork(name, {maxTokens: 10_000})));
   for (let second = 1; second <= 60; second++) {
     for (const name of names) {
-      const isSlow = bench.endpointOf(name) === 'a';
-      bench.progress(name, second * (isSlow ? 10 : 100));
+      const isSlow = harness.endpointOf(name) === 'a';
+      harness.progress(name, second * (isSlow ? 10 : 100));
     }
-    bench.wait(1000);
-    if (bench.actions.some(action => action.kind === 'stop')) break;
+    harness.wait(1000);
+    if (harness.actions.some(action => action.kind === 'stop')) break;
   }
-  const moved = bench.actions.filter(action => action.kind === 'start').at(-1);
+  const moved = harness.actions
+    .filter(action => action.kind === 'start')
+    .at(-1);
   t.like(moved, {endpoint: 'b', attempt: 2});
   t.true(moved?.kind === 'start' && moved.resumeTokens > 0);
 });
 
-// The VMs together send an endpoint more than it takes.
-// 1. Nine other VMs tell that they have work in flight at the only engine.
-// 2. This VM has a long queue.
-// Cause: each VM took the endpoint's limit for its own.
-test('a VM takes no more than its part of an endpoint in use by others', t => {
-  const bench = createHarness('a');
+// Guards against VMs that together overload an endpoint because each uses the
+// complete limit: nine other VMs have work in flight on the only engine.
+test('a VM uses no more than its share of an endpoint used by others', t => {
+  const harness = createHarness('a');
   const vms = Array.from({length: 10}, (_, i) => toVmId(`vm-${i + 1}`));
-  bench.handle({kind: 'vms', vms});
+  harness.handle({kind: 'vms', vms});
   const inFlight = new Map([[toEndpointId('a'), 2]]);
   for (const vm of vms.slice(1)) {
-    bench.handle({kind: 'peer_load', vm, inFlight});
+    harness.handle({kind: 'peer_load', vm, inFlight});
   }
-  bench.add(...createNames(50).map(name => createWork(name)));
-  t.true(bench.lastAttempts.size <= 2, `${bench.lastAttempts.size} started`);
+  harness.add(...createNames(50).map(name => createWork(name)));
+  t.true(
+    harness.lastAttempts.size <= 2,
+    `${harness.lastAttempts.size} started`,
+  );
   for (const vm of vms.slice(1)) {
-    bench.handle({kind: 'peer_load', vm, inFlight: new Map()});
+    harness.handle({kind: 'peer_load', vm, inFlight: new Map()});
   }
-  t.true(bench.lastAttempts.size > 10, `${bench.lastAttempts.size} started`);
+  t.true(
+    harness.lastAttempts.size > 10,
+    `${harness.lastAttempts.size} started`,
+  );
 });
--- a/packages/core/src/__tests__/scheduler_fixture.ts
+++ b/packages/core/src/__tests__/scheduler_fixture.ts
@@ -1,4 +1,4 @@
-/** Builds endpoints, works and schedulers for the scheduler's tests. */
+/** Creates endpoints, work items and schedulers for the scheduler's tests. */
 
 import type {EndpointInfo, LoadReport} from '@radishyoke/shared/endpoint';
 import {
@@ -69,7 +69,7 @@
   };
 }
 
-/** A scheduler that knows the given endpoints. */
+/** Creates a scheduler whose VM list contains the given endpoints. */
 export function createScheduler(ids: readonly string[]): PolicyScheduler {
   const scheduler = new PolicyScheduler(
     {vm: toVmId('vm-1'), dataCentre: toDataCentreId('gebze-a')},
--- a/packages/core/src/routing/__tests__/attempt_policy.spec.ts
+++ b/packages/core/src/routing/__tests__/attempt_policy.spec.ts
@@ -33,7 +33,7 @@
     expected: 'pass_on',
   },
   {
-    name: 'a failure of a repeatable request is tried elsewhere',
+    name: 'a failure of a repeatable request is retried on another endpoint',
     terms: REPEATABLE,
     end: {kind: 'answered', status: 500},
     tally: {ran: 1},
@@ -47,35 +47,35 @@
     expected: 'pass_on',
   },
   {
-    name: 'a failure of a request that may run once is passed on',
+    name: 'a failure of a request that may run only once is passed on',
     terms: ONCE,
     end: {kind: 'answered', status: 500},
     tally: {ran: 1},
     expected: 'pass_on',
   },
   {
-    name: 'what an endpoint refused goes to another, whatever its kind',
+    name: 'a request that an endpoint refused is retried, whatever its kind',
     terms: ONCE,
     end: {kind: 'not_run'},
     tally: {notRun: 1},
     expected: 'try_again',
   },
   {
-    name: 'a request that nobody ran is refused in the end',
+    name: 'a request that no endpoint ran is refused after the last retry',
     terms: ONCE,
     end: {kind: 'not_run'},
     tally: {notRun: 4},
     expected: 'refuse',
   },
   {
-    name: 'a request that may have run is never refused',
+    name: 'a request that may have run is never reported as refused',
     terms: REPEATABLE,
     end: {kind: 'not_run'},
     tally: {ran: 1, notRun: 4},
     expected: 'fail',
   },
   {
-    name: 'an unknown outcome ends a request that may run once',
+    name: 'an unknown outcome ends a request that may run only once',
     terms: ONCE,
     end: {kind: 'unknown'},
     tally: {ran: 1},
@@ -85,8 +85,8 @@
 
 for (const {name, terms, end, tally, expected} of CASES) {
   test(name, t => {
-    const full = {ran: 0, notRun: 0, ...tally};
-    t.is(decideNextStep(terms, end, full).kind, expected);
+    const fullTally = {ran: 0, notRun: 0, ...tally};
+    t.is(decideNextStep(terms, end, fullTally).kind, expected);
   });
 }
 
@@ -111,7 +111,7 @@
   objectiveMs: fc.constant(200),
 });
 
-/** Plays attempts that end as `ends` say, one after the other, as the forwarder does. */
+/** Runs attempts that end as in `ends` one after another, as the forwarder does. */
 function runAttempts(terms: RequestTerms, ends: readonly AttemptEnd[]) {
   let ran = 0;
   let notRun = 0;
@@ -124,10 +124,9 @@
   return {ran, outcome: undefined};
 }
 
-// A caller sends a payment again that was made, or gives up one that was not.
-// 1. An attempt may have run; the next ones are refused.
-// 2. The caller is told that its request has not run.
-test('whatever endpoints do, a refusal is true and nothing runs too often', t => {
+// Guards against a caller that repeats a payment already made: an attempt may have
+// run, later ones are refused, and the caller is told that its request did not run.
+test('a refused request never ran, and no request runs too often', t => {
   fc.assert(
     fc.property(
       anyTerms,
--- a/packages/core/src/routing/__tests__/endpoint_choice.spec.ts
+++ b/packages/core/src/routing/__tests__/endpoint_choice.spec.ts
@@ -19,7 +19,7 @@
 
 const NONE: ReadonlySet<string> = new Set();
 
-test('the least loaded endpoint is chosen, near ones first among equals', t => {
+test('the least loaded endpoint is chosen, preferring near ones at equal load', t => {
   const busy = createCandidate('busy', {inFlight: 3});
   const far = createCandidate('far', {dataCentre: 'far'});
   const near = createCandidate('near');
@@ -28,10 +28,8 @@
   t.is(chooseEndpoint([busy], new Set(['busy']), 'near', 0, 0), undefined);
 });
 
-// Requests are lost one after another at an endpoint that has crashed.
-// 1. It refuses connections and so has nothing in flight.
-// 2. By load alone it is the best choice for every request.
-// Cause: an endpoint that fails fast looks idle.
+// Guards against sending every request to a crashed endpoint: it refuses
+// connections, has nothing in flight and so looks like the least loaded one.
 test('an endpoint that fails is avoided for a while, longer each time', t => {
   const failed = createCandidate('failed', {failures: 1, failedAtMs: 1000});
   const busy = createCandidate('busy', {inFlight: 7});
@@ -43,10 +41,9 @@
   t.is(choose(5000, 9), 'failed');
 });
 
-// A burst opens so many connections that endpoints reset them.
-// 1. Endpoints slow down and requests pile up at each of them.
-// 2. Every VM adds more, and connections over the limit are reset in mid-request.
-test('an endpoint that has all that this VM may keep there is not chosen', t => {
+// Guards against connection resets in a burst: endpoints slow down, every VM keeps
+// adding requests, and connections over the limit are reset in mid-request.
+test('an endpoint with the maximum number of requests of this VM is not chosen', t => {
   const full = createCandidate('full', {inFlight: 8});
   t.is(chooseEndpoint([full], NONE, 'near', 0, 0), undefined);
 });
--- a/packages/core/src/routing/__tests__/route_table.spec.ts
+++ b/packages/core/src/routing/__tests__/route_table.spec.ts
@@ -41,7 +41,7 @@
   return new RouteTable(cfg);
 }
 
-test('the longest prefix of the host decides', t => {
+test('the route of the host with the longest matching prefix applies', t => {
   const table = createTable([
     createRoute('a.example', '/'),
     createRoute('a.example', '/notes/'),
@@ -55,7 +55,7 @@
   t.is(table.match('c.example', '/notes/'), undefined);
 });
 
-/** The shortest way to the same answer: try all rules, longest first. */
+/** Reference implementation: tries all routes, longest prefix first. */
 function matchNaively(
   routes: readonly Route[],
   host: string,
@@ -67,7 +67,7 @@
     ?.name;
 }
 
-test('look-ups agree with trying every rule', t => {
+test('look-ups agree with trying every route', t => {
   const segment = fc.constantFrom('a', 'b', 'ab');
   const prefix = fc
     .array(segment, {maxLength: 3})
@@ -76,10 +76,10 @@
     .array(segment, {maxLength: 4})
     .map(parts => `/${parts.join('/')}`);
   fc.assert(
-    fc.property(fc.uniqueArray(prefix), path, (prefixes, asked) => {
+    fc.property(fc.uniqueArray(prefix), path, (prefixes, requested) => {
       const routes = prefixes.map(text => createRoute('h', text));
-      const expected = matchNaively(routes, 'h', asked);
-      t.is(createTable(routes).match('h', asked)?.name, expected);
+      const expected = matchNaively(routes, 'h', requested);
+      t.is(createTable(routes).match('h', requested)?.name, expected);
     }),
     {seed: 1},
   );
--- a/packages/core/src/routing/attempt_policy.ts
+++ b/packages/core/src/routing/attempt_policy.ts
@@ -1,49 +1,55 @@
 /**
- * What follows the end of an attempt at an endpoint, and when a second attempt
- * starts beside a slow one.
+ * Decides what follows the end of an attempt on an endpoint, and when a slow
+ * attempt is hedged by a second one.
  */
 
-/** How one attempt at an endpoint ended. */
+/** How one attempt on an endpoint ended. */
 export type AttemptEnd =
   | {readonly kind: 'answered'; readonly status: number}
-  /** Certain: the endpoint did not run the request. */
+  /** The endpoint certainly did not run the request. */
   | {readonly kind: 'not_run'}
-  /** It may have run. */
+  /** The request may have run. */
   | {readonly kind: 'unknown'};
 
 export interface RequestTerms {
   /** Whether the request may run more than once. */
   readonly isRepeatable: boolean;
-  /** Most endpoints that may run it. */
+  /** Maximum number of endpoints that may run it. */
   readonly attempts: number;
   readonly objectiveMs: number;
 }
 
 export type NextStep =
-  /** Pass the endpoint's answer on. */
+  /** Pass the endpoint's answer on to the caller. */
   | {readonly kind: 'pass_on'}
   | {readonly kind: 'try_again'}
-  /** Nothing ran and nothing will: a refusal is true. */
+  /** Tell the caller that the request did not run, which is certain. */
   | {readonly kind: 'refuse'}
-  /** It may have run and may not be repeated, or no attempt is left. */
+  /**
+   * Report a failure: the request may have run, and it may not be repeated or
+   * no attempt is left.
+   */
   | {readonly kind: 'fail'};
 
-/** Share of the objective after which a second attempt starts beside the first: past nineteen in twenty answers, with time left for the second to be in time. */
+/**
+ * Share of the objective after which a request is hedged: 95% of answers have
+ * arrived by then, and the second attempt can still meet the objective.
+ */
 const HEDGE_SHARE = 0.6;
-/** A second attempt never starts sooner, ms. */
+/** Minimum delay before a hedge, ms. */
 const MIN_HEDGE_MS = 60;
-/** Refusals by endpoints that one request takes before it is refused itself; each costs a round trip. */
+/** Refusals after which a request is not retried; each costs a round trip. */
 const MAX_REFUSALS = 4;
 
-/** Tells what was done so far. */
+/** Counts of a request's attempts so far. */
 export interface AttemptTally {
   /** Attempts that ran or may have run. */
   readonly ran: number;
-  /** Attempts that an endpoint refused or that found none. */
+  /** Attempts that an endpoint refused or for which there was no endpoint. */
   readonly notRun: number;
 }
 
-/** Decides after an attempt ended; `tally` counts it already. */
+/** Decides what follows an attempt that ended; `tally` includes it. */
 export function decideNextStep(
   terms: RequestTerms,
   end: AttemptEnd,
@@ -62,7 +68,10 @@
   return {kind: 'try_again'};
 }
 
-/** When a second attempt starts beside the first, ms after it; undefined for never. */
+/**
+ * Returns the ms after the first attempt's start at which a hedge starts;
+ * undefined for none.
+ */
 export function measureHedgeMs(terms: RequestTerms): number | undefined {
   if (!terms.isRepeatable || terms.attempts < 2) return undefined;
   return Math.max(terms.objectiveMs * HEDGE_SHARE, MIN_HEDGE_MS);
--- a/packages/core/src/routing/endpoint_choice.ts
+++ b/packages/core/src/routing/endpoint_choice.ts
@@ -1,34 +1,48 @@
-/** Picks an endpoint of a plain service for one attempt. */
+/** Chooses the endpoint of a plain service for one attempt. */
 
-/** An endpoint as the choice sees it. */
+/** The properties of an endpoint that affect the choice. */
 export interface EndpointCandidate {
   readonly id: string;
   readonly slots: number;
   readonly dataCentre: string;
-  /** Requests of this VM that are in flight there. */
+  /** This VM's requests in flight on the endpoint. */
   readonly inFlight: number;
-  /** Requests that it said run and wait there, all VMs together. */
+  /** Requests of all VMs that the endpoint reported as running or waiting. */
   readonly reportedLoad: number;
-  /** Attempts in a row that failed for the endpoint's own reasons. */
+  /** Consecutive attempts that failed for a fault of the endpoint. */
   readonly failures: number;
-  /** Steady ms of the last such failure. */
+  /** Time of the last such failure on the monotonic clock, ms. */
   readonly failedAtMs: number;
 }
 
-/** An endpoint that failed is avoided for this long a failure, ms, up to the next figure. */
+/**
+ * Time for which an endpoint is avoided after a failure, ms; doubles with each
+ * further failure up to the maximum.
+ */
 const AVOID_MS = 500;
 const MAX_AVOID_MS = 4000;
-/** What another data centre costs against a free slot of ten: near ones first while they are about as free. */
+/**
+ * Cost of another data centre, equal to a load of one slot in ten, so that near
+ * endpoints are preferred at similar load.
+ */
 const REMOTE_COST = 0.1;
-/** An avoided endpoint is worse than any full one, but better than none. */
+/**
+ * Cost of an avoided endpoint, higher than that of any load; it is still chosen
+ * if there is no other.
+ */
 const AVOID_COST = 100;
 
-/** Requests that one VM keeps at an endpoint beyond its slots. More would only wait there, and all VMs together must stay below the connections it takes. */
+/**
+ * Requests that one VM sends to an endpoint beyond its slots. More would only
+ * wait there, and all VMs together must stay below the endpoint's connection
+ * limit.
+ */
 const MAX_QUEUED_PER_ENDPOINT = 2;
 
 /**
- * The least loaded endpoint that `tried` does not hold; undefined where none is
- * left. `draw` in [0, 1) breaks ties, so that VMs with the same view spread.
+ * Returns the least loaded endpoint that is not in `tried`; undefined if none is
+ * left. `random` in [0, 1) breaks ties, so that VMs with the same view choose
+ * different endpoints.
  */
 export function chooseEndpoint(
   endpoints: readonly EndpointCandidate[],
--- a/packages/core/src/routing/route_table.ts
+++ b/packages/core/src/routing/route_table.ts
@@ -1,18 +1,18 @@
 /**
- * Routing rules by host and path. Rules are ordered, longest prefix first, and
- * the first match decides, so an answer can name the one rule that caused it.
+ * Routes by host and path prefix. The route with the longest matching prefix
+ * applies, so an answer can name the one route that caused it.
  */
 
 import {AccountDirectory} from '../accounts/account_directory.js';
 import type {ClientAccount} from '../accounts/client_account.js';
 
-/** What may be done with a request when the outcome of an attempt is unknown. */
+/** The kind of a route's requests, which decides how they may be retried. */
 export type RequestKind =
   | 'idempotent'
   | 'non_idempotent'
-  /** One answer that arrives as a series of events. */
+  /** The answer is a stream of events. */
   | 'streaming'
-  /** Many items taken at once, run later and read by position. */
+  /** Many items are submitted at once, and results are read by position. */
   | 'batch';
 
 /** One service of a route with its share of the traffic. */
@@ -22,17 +22,17 @@
   readonly weight: number;
 }
 
-/** Promises that a batch route makes for its items. */
+/** Guarantees of a batch route for its items. */
 export interface BatchTerms {
-  /** All results are due this long after the batch was first submitted, ms. */
+  /** All results are due this long after a batch's first submission, ms. */
   readonly dueMs: number;
   /** An item may be given up this long after the submission, ms. */
   readonly retentionMs: number;
-  /** Whether each result must come from one weight version only. */
+  /** Whether each result must come from a single weight version. */
   readonly singleVersion: boolean;
 }
 
-/** One routing rule: when host and path prefix match, then this is done. */
+/** One route: how requests with its host and path prefix are handled. */
 export interface Route {
   readonly name: string;
   /** Lower case, without a port. */
@@ -40,43 +40,43 @@
   /** Begins and ends with a slash. */
   readonly pathPrefix: string;
   readonly kind: RequestKind;
-  /** Whether a broken event stream may go on at another endpoint. */
+  /** Whether a broken event stream may be resumed on another endpoint. */
   readonly resumable: boolean;
   readonly services: readonly WeightedService[];
-  /** Most endpoints that one attempt of a caller is sent to. */
+  /** Maximum number of endpoints to which one attempt of a caller is sent. */
   readonly attempts: number;
   readonly timeoutMs: number;
-  /** Time within which an answer is of full use to the caller, ms. */
+  /** Answers within this time have full value for the caller, ms. */
   readonly objectiveMs: number;
   /** 0 is the most urgent. */
   readonly priority: number;
-  /** Whether its requests need no key of an account; without it they do. */
+  /** Whether requests need no client account key; when absent, they do. */
   readonly isPublic?: boolean;
   /** Present where `kind` is `batch`. */
   readonly batch?: BatchTerms;
 }
 
-/** What the operator says of one service's endpoints. */
+/** The operator's description of one service's endpoints. */
 export interface ServiceSpec {
   readonly name: string;
   readonly healthPath: string;
-  /** Connections that one endpoint takes from all VMs together. */
+  /** Maximum number of connections to one endpoint from all VMs together. */
   readonly maxConnections: number;
   /** Present for model engines. */
   readonly engine?: EngineSpec;
 }
 
 export interface EngineSpec {
-  /** Generations that run at once on one endpoint. */
+  /** Maximum number of generations running at once on one endpoint. */
   readonly slots: number;
-  /** Tokens that the engine's memory holds. */
+  /** Capacity of the engine's KV cache in tokens. */
   readonly kvTokens: number;
   readonly models: readonly string[];
-  /** Output tokens in one event of a generation. */
+  /** Output tokens per event of a generation stream. */
   readonly tokensPerEvent: number;
 }
 
-/** Bounds on what a caller may send and how long it may take. */
+/** Limits on the size of callers' requests and the time for sending them. */
 export interface CallerLimits {
   readonly maxHeaderBytes: number;
   readonly maxBodyBytes: number;
@@ -84,17 +84,17 @@
   readonly idleTimeoutMs: number;
 }
 
-/** One version of the operator's configuration, whole. */
+/** One complete version of the operator's configuration. */
 export interface Configuration {
   readonly version: number;
   readonly routes: readonly Route[];
   readonly services: readonly ServiceSpec[];
   readonly limits: CallerLimits;
-  /** Who may send requests; without a list nobody is asked for a key. */
+  /** Client accounts that may send requests; when absent, no key is required. */
   readonly accounts?: readonly ClientAccount[];
 }
 
-/** The routes of one configuration made ready for look-ups. */
+/** Indexes the routes of one configuration for look-ups. */
 export class RouteTable {
   private readonly byHost = new Map<string, Map<string, Route>>();
   private readonly services = new Map<string, ServiceSpec>();
@@ -108,9 +108,9 @@
   }
 
   /**
-   * The first matching rule in order of prefix length, or undefined. Each slash
-   * of the path is tried from the last one back, so the cost is one look-up a
-   * path segment, whatever the number of routes.
+   * Returns the route with the longest matching prefix, or undefined. Prefixes of
+   * the path are tried from the longest, so the cost is one look-up per path
+   * segment, whatever the number of routes.
    */
   match(host: string, path: string): Route | undefined {
     const prefixes = this.byHost.get(canonicalizeHost(host));
@@ -141,17 +141,17 @@
       prefixes = new Map();
       this.byHost.set(route.host, prefixes);
     }
-    // Of two rules with one condition the first decides.
+    // Of two routes with the same host and prefix, the first one applies.
     if (!prefixes.has(route.pathPrefix)) prefixes.set(route.pathPrefix, route);
   }
 }
 
-/** `host` in lower case and without its port. */
+/** Returns `host` in lower case and without its port. */
 export function canonicalizeHost(host: string): string {
   return host.toLowerCase().replace(/:\d+$/, '');
 }
 
-/** A number in [0, 1) that the same id always gives. */
+/** Hashes an id to a number in [0, 1). */
 export function hashToUnitInterval(id: string): number {
   let hash = 2166136261;
   for (let i = 0; i < id.length; i++) {
@@ -161,8 +161,8 @@
 }
 
 /**
- * Picks a service of `route` by weight. `draw` in [0, 1) decides, so that the
- * caller may derive it from the request's id and repeat the choice.
+ * Picks a service of `route` by weight. `random` in [0, 1) decides; a caller that
+ * derives it from the request's id gets the same service again.
  */
 export function pickService(route: Route, random: number): string | undefined {
   const total = route.services.reduce((sum, {weight}) => sum + weight, 0);
--- a/packages/core/src/scheduling/__tests__/concurrency_limit.spec.ts
+++ b/packages/core/src/scheduling/__tests__/concurrency_limit.spec.ts
@@ -3,22 +3,22 @@
 import {ConcurrencyLimit, divideLimit} from '../concurrency_limit.js';
 import {createReport} from '../../__tests__/scheduler_fixture.js';
 
-test('the parts of all VMs add up to the limit and no more', t => {
+test('the shares of all VMs add up to the limit or the total demand', t => {
   fc.assert(
     fc.property(
       fc.nat(200),
       fc.array(fc.nat(60), {minLength: 1, maxLength: 40, size: 'max'}),
       fc.nat(1000),
       (limit, demands, offset) => {
-        const parts = divideLimit(limit, demands, offset);
-        const sum = parts.reduce((a, b) => a + b, 0);
-        const wanted = demands.reduce((a, b) => a + b, 0);
-        const isFair = parts.every(
-          (part, i) =>
-            part === demands[i] || parts.every(other => other <= part + 1),
+        const shares = divideLimit(limit, demands, offset);
+        const sum = shares.reduce((a, b) => a + b, 0);
+        const demanded = demands.reduce((a, b) => a + b, 0);
+        const isFair = shares.every(
+          (share, i) =>
+            share === demands[i] || shares.every(other => other <= share + 1),
         );
-        const isWithin = parts.every((part, i) => part <= demands[i]);
-        return sum === Math.min(limit, wanted) && isWithin && isFair;
+        const isWithin = shares.every((share, i) => share <= demands[i]);
+        return sum === Math.min(limit, demanded) && isWithin && isFair;
       },
     ),
     {seed: 7, numRuns: 500},
@@ -28,7 +28,7 @@
 
 interface LimitCase {
   readonly name: string;
-  /** Running and waiting of reports a second apart. */
+  /** Running and waiting requests in reports one second apart. */
   readonly reports: ReadonlyArray<readonly [number, number]>;
   readonly isExpected: (limit: number) => boolean;
 }
@@ -48,7 +48,7 @@
     isExpected: limit => limit === 9,
   },
   {
-    name: 'takes what waits for the next batch for no sign of a full engine',
+    name: 'does not treat requests waiting for the next batch as saturation',
     reports: [
       [2, 3],
       [5, 0],
@@ -71,7 +71,7 @@
   });
 }
 
-test('a limit falls when the endpoint turns work away', t => {
+test('a limit falls when the endpoint rejects a request', t => {
   const limit = new ConcurrencyLimit();
   const before = limit.limit;
   limit.recordRejection(10);
--- a/packages/core/src/scheduling/__tests__/fair_queue.spec.ts
+++ b/packages/core/src/scheduling/__tests__/fair_queue.spec.ts
@@ -23,7 +23,7 @@
   {maxLength: 80, size: 'max'},
 );
 
-test('takes what a scan of everything takes', t => {
+test('dequeues in the order of a linear scan', t => {
   fc.assert(
     fc.property(opsArbitrary, ops => {
       const queue = new FairQueue<QueueEntry>();
@@ -56,7 +56,7 @@
   t.pass();
 });
 
-/** Entries between which the order leaves a choice. */
+/** Whether the order allows either of two entries to go first. */
 function isAlike(a: QueueEntry, b: QueueEntry): boolean {
   return (
     a.priority === b.priority &&
--- a/packages/core/src/scheduling/__tests__/naive_scheduler.spec.ts
+++ b/packages/core/src/scheduling/__tests__/naive_scheduler.spec.ts
@@ -36,7 +36,7 @@
   };
 }
 
-test('takes endpoints in turn and starts failed work again elsewhere', t => {
+test('uses endpoints round robin and restarts failed work on the next', t => {
   const scheduler = new NaiveScheduler();
   scheduler.handle({
     kind: 'endpoints',
--- a/packages/core/src/scheduling/__tests__/policy_scheduler.spec.ts
+++ b/packages/core/src/scheduling/__tests__/policy_scheduler.spec.ts
@@ -15,14 +15,14 @@
 const ENGINES = ['a', 'b', 'c'] as const;
 const FAILURES = Object.keys(RETRY_TABLE) as FailureKind[];
 
-/** Runs a scheduler and keeps an account of each work by its actions alone. */
+/** Runs a scheduler and tracks work items by its actions alone. */
 class WorkTracker {
   nowMs = 0;
-  /** Oldest version of use to any step. */
+  /** Oldest weight version that steps accept. */
   minVersion = 1;
-  /** Version that engines report and make output with. */
+  /** Weight version that engines report and generate with. */
   version = 1;
-  /** Version of the last output of each work. */
+  /** Weight version of each work item's last output. */
   readonly versions = new Map<string, number>();
   readonly running = new Map<string, {attempt: number; endpoint: string}[]>();
   readonly workItems = new Map<string, WorkItem>();
@@ -46,9 +46,9 @@
     failure: FailureKind | undefined,
     sent: boolean,
   ): void {
-    const found = this.pickAttempt(index);
-    if (!found) return;
-    const {workId, attempt} = found;
+    const picked = this.pickAttempt(index);
+    if (!picked) return;
+    const {workId, attempt} = picked;
     this.removeAttempt(workId, attempt);
     const isSent = sent && failure !== 'connect_failed';
     if (isSent || !failure) this.sent.add(workId);
@@ -63,7 +63,7 @@
     });
   }
 
-  /** Engines that lag make output one version behind the newest. */
+  /** Some work items get output one version old, as from a lagging engine. */
   private makeSpan(workId: string) {
     const weightVersion = Math.max(1, this.version - (workId.length % 2));
     this.versions.set(workId, weightVersion);
@@ -71,13 +71,13 @@
   }
 
   progress(index: number): void {
-    const found = this.pickAttempt(index);
-    if (!found) return;
+    const picked = this.pickAttempt(index);
+    if (!picked) return;
     const {version: weightVersion} = this;
-    this.handle({kind: 'progress', ...found, tokens: 3, weightVersion});
+    this.handle({kind: 'progress', ...picked, tokens: 3, weightVersion});
   }
 
-  /** The caller goes away: no end is told, and nothing may follow. */
+  /** Cancels a work item; no further action may follow for it. */
   cancel(index: number): void {
     const open = [...this.workItems.keys()].filter(id => !this.ended.has(id));
     if (open.length === 0) return;
@@ -97,7 +97,8 @@
   private apply(action: SchedulerAction): void {
     if (action.kind === 'report_crash') return;
     const {workId} = action;
-    if (this.ended.has(workId)) this.problems.push(`${workId} after its end`);
+    if (this.ended.has(workId))
+      this.problems.push(`${workId} has an action after its end`);
     if (action.kind === 'start') return this.start(action);
     if (action.kind === 'stop')
       return this.removeAttempt(workId, action.attempt);
@@ -106,28 +107,31 @@
       action.kind === 'give_up' &&
       action.error.ran === 'no' &&
       this.sent.has(workId);
-    if (isUntrue) this.problems.push(`${workId} ran though told it did not`);
+    if (isUntrue)
+      this.problems.push(`${workId} ran but was reported as not run`);
     const isStale =
       action.kind === 'done' &&
       this.workItems.get(workId)!.workClass === 'rollout' &&
       this.versions.get(workId)! < this.minVersion;
-    if (isStale) this.problems.push(`${workId} handed over stale`);
+    if (isStale) this.problems.push(`${workId} delivered stale output`);
     this.running.delete(workId);
   }
 
   private start(action: SchedulerAction & {kind: 'start'}): void {
     const {workId, attempt, endpoint} = action;
     const work = this.workItems.get(workId)!;
-    // What never reached an endpoint doesn't count for rollouts.
+    // Attempts of rollouts that never reached an endpoint don't count.
     const unsent =
       work.workClass === 'rollout' ? (this.unsent.get(workId) ?? 0) : 0;
     if (attempt - unsent > work.maxAttempts) {
-      this.problems.push(`${workId} too often`);
+      this.problems.push(`${workId} exceeds its attempts`);
     }
-    if (this.leaving.has(endpoint)) this.problems.push(`${workId} to leaving`);
+    if (this.leaving.has(endpoint))
+      this.problems.push(`${workId} starts on a leaving endpoint`);
     const running = this.running.get(workId) ?? [];
     const isSecond = running.length > 0 || this.sent.has(workId);
-    if (!work.idempotent && isSecond) this.problems.push(`${workId} twice`);
+    if (!work.idempotent && isSecond)
+      this.problems.push(`${workId} is sent twice`);
     this.running.set(workId, [...running, {attempt, endpoint}]);
   }
 
@@ -269,7 +273,7 @@
   }
 }
 
-/** Lets everything that is left run to its end. */
+/** Makes all endpoints usable and finishes all remaining work items. */
 function finishAll(tracker: WorkTracker): void {
   tracker.leaving.clear();
   const endpoints = ENGINES.map(id => createEndpoint(id));
@@ -290,23 +294,20 @@
   }
 }
 
-// A caller gets no answer, two answers, or finds a note filed twice.
-// 1. Requests of all kinds come while endpoints fail in every way and leave.
-// 2. Retries, hedges and waits overlap.
-// 3. Weights change, steps' bounds rise, callers go away, other VMs tell of load.
-// Cause: the scheduler loses a work, ends it twice, sends a non-idempotent
-// request again after the first could have been received, or hands over output
-// that is older than the bound.
-test('every work ends once, the non-idempotent are sent once, nothing is stale', t => {
+// Guards against a scheduler that loses a work item, ends it twice, sends a
+// non-idempotent request again after the first may have been received, or delivers
+// output older than the bound. Requests of all kinds arrive while endpoints fail
+// and leave, weights change, bounds rise, callers cancel and peers report load.
+test('every work item ends once, non-idempotent ones are sent once, no output is stale', t => {
   fc.assert(
     fc.property(fc.array(opArbitrary, {maxLength: 150, size: 'max'}), ops => {
-      const account = new WorkTracker(createScheduler(ENGINES));
-      ops.forEach((op, index) => applyOp(account, op, index));
-      finishAll(account);
-      const missing = [...account.workItems.keys()].filter(
-        id => !account.ended.has(id),
+      const tracker = new WorkTracker(createScheduler(ENGINES));
+      ops.forEach((op, index) => applyOp(tracker, op, index));
+      finishAll(tracker);
+      const missing = [...tracker.workItems.keys()].filter(
+        id => !tracker.ended.has(id),
       );
-      return account.problems.length === 0 && missing.length === 0;
+      return tracker.problems.length === 0 && missing.length === 0;
     }),
     {seed: 4, numRuns: 300},
   );
--- a/packages/core/src/scheduling/__tests__/retry_policy.spec.ts
+++ b/packages/core/src/scheduling/__tests__/retry_policy.spec.ts
@@ -6,7 +6,7 @@
 const FAILURES = Object.keys(RETRY_TABLE) as FailureKind[];
 const BOTH = [false, true];
 
-test('every case of the table keeps the promises on repeats', t => {
+test('no case of the table repeats a request that may not run again', t => {
   for (const failure of FAILURES) {
     for (const idempotent of BOTH) {
       for (const sent of BOTH) {
@@ -25,11 +25,9 @@
   }
 });
 
-// Endpoints slow down, and the service makes it worse.
-// 1. Ten thousand attempts fail within one second.
-// 2. Each failure would send another attempt.
-// Cause: retries without a bound of their own.
-test('retries at once are bounded whatever fails', t => {
+// Guards against a retry storm: 10,000 attempts fail within one second and each
+// failure would start another attempt, which slows the endpoints down further.
+test('immediate retries are bounded however many attempts fail', t => {
   const budget = new RetryBudget();
   const tenant = toTenantId('trainer-1');
   const endpoint = toEndpointId('a');
--- a/packages/core/src/scheduling/admission.ts
+++ b/packages/core/src/scheduling/admission.ts
@@ -1,26 +1,26 @@
-/** Which works are refused at once, with when to come back. */
+/** Decides which work items are refused on arrival, and when to retry. */
 
 import {createError, RadishyokeError} from '@radishyoke/shared/error_kind';
 import type {EndpointGroup} from './endpoint_directory.js';
 import type {WorkClass} from './scheduler.js';
 import type {WorkState} from './work_state.js';
 
-/** Works of one tenant that may wait in one group where the rule sets no bound. */
+/** Maximum queued work items per tenant and group if the rule sets none. */
 const MAX_QUEUED: Readonly<Record<WorkClass, number>> = {
   interactive: 2_000,
   rollout: 20_000,
 };
-/** Part of the expected wait that has to fit before the deadline. */
+/** Share of the expected wait that must fit before the deadline. */
 const REQUIRED_WAIT_SHARE: Readonly<Record<WorkClass, number>> = {
   interactive: 1,
   rollout: 0.5,
 };
-/** When to come back where nothing was measured. */
+/** Default retry delay suggested to the caller, ms. */
 export const DEFAULT_RETRY_AFTER_MS = 1000;
 
 /**
- * Why the work is refused without being run, if it is. `isStepOpen` tells that
- * samples of the work's step were taken before.
+ * Returns the error if the work item must be refused without running it.
+ * `isStepOpen` is whether samples of its step were admitted before.
  */
 export function findRefusal(
   work: WorkState,
@@ -53,10 +53,10 @@
   );
   const queued = queue.countOf(tenant);
   const isFull = queued >= (work.item.maxQueue ?? MAX_QUEUED[workClass]);
-  // A step that is larger than the bound would lose the samples past it while
-  // the others are run for nothing; it is taken whole or not at all.
+  // The queue limit applies only to the first sample of a step. A step larger than
+  // the limit would otherwise lose some samples and run the others for nothing.
   if (isFull && !isStepOpen) {
-    // Room for one more comes with the next one that leaves.
+    // A place becomes free when the next queued item is started.
     const perItemMs = waitMs === undefined ? undefined : waitMs / queued;
     return createError('overloaded', undefined, {
       retryAfterMs: Math.ceil(perItemMs ?? DEFAULT_RETRY_AFTER_MS),
--- a/packages/core/src/scheduling/attempt_table.ts
+++ b/packages/core/src/scheduling/attempt_table.ts
@@ -1,13 +1,13 @@
-/** The attempts that run: how they begin, what they show, how they are closed. */
+/** Tracks running attempts: starts them, records their progress and closes them. */
 
 import type {EndpointState} from './endpoint_state.js';
 import type {SchedulerState} from './scheduler_state.js';
 import type {WorkQueues} from './work_queues.js';
 import type {Attempt, WorkState} from './work_state.js';
 
-/** An endpoint this many times slower than others is not taken as ordinary. */
+/** The group's speed model excludes endpoints with at least this slowness. */
 const MAX_ORDINARY_SLOWNESS = 1.5;
-/** A suspect has its endpoint to itself for this long, ms. */
+/** Minimum time for which nothing else is sent to a suspect's endpoint, ms. */
 const QUARANTINE_MS = 3000;
 
 const NO_ATTEMPTS: ReadonlySet<Attempt> = new Set();
@@ -20,7 +20,7 @@
     private readonly queues: WorkQueues,
   ) {}
 
-  /** Own attempts in flight at an endpoint. */
+  /** Returns this VM's attempts in flight on an endpoint. */
   listAt(endpoint: EndpointState): ReadonlySet<Attempt> {
     return this.byEndpoint.get(endpoint) ?? NO_ATTEMPTS;
   }
@@ -30,7 +30,7 @@
     return running?.find(attempt => attempt.number === number);
   }
 
-  /** Starts the next attempt, going on from what an earlier one left. */
+  /** Starts the next attempt, resuming from partial output if there is any. */
   start(work: WorkState, endpoint: EndpointState): void {
     const {options, retries, stragglers} = this.state;
     const number = ++work.attempts;
@@ -50,7 +50,7 @@
     });
   }
 
-  /** Counts an attempt as running. */
+  /** Registers an attempt as running. */
   open(
     work: WorkState,
     endpoint: EndpointState,
@@ -106,7 +106,7 @@
     if (wasSuspected) this.state.onEndpointChanged(endpoint);
   }
 
-  /** The attempt runs no more; what it held is free for others. */
+  /** Removes a running attempt and frees its capacity. */
   close(attempt: Attempt): void {
     const {work, endpoint} = attempt;
     work.running = work.running.filter(other => other !== attempt);
@@ -122,7 +122,7 @@
     this.state.markDirty(group);
   }
 
-  /** Closes the attempt and has its endpoint stop it. */
+  /** Closes the attempt and cancels it at its endpoint. */
   stop(attempt: Attempt): void {
     this.close(attempt);
     this.state.emit({
@@ -146,12 +146,12 @@
     const tokenMs = elapsedMs / tokens;
     const streams = endpoint.totalInFlight;
     endpoint.recordSlowness(tokenMs / speed.predictMs(streams), elapsedMs);
-    // Endpoints that are out of the ordinary say nothing of the others.
+    // Unusually slow endpoints would distort the model of the others.
     if (endpoint.slowness < MAX_ORDINARY_SLOWNESS)
       speed.record(streams, tokenMs);
   }
 
-  /** A suspect that shows output doesn't crash at once: others may join it. */
+  /** Ends the quarantine once the suspect shows output after QUARANTINE_MS. */
   private endQuarantineIfDue(attempt: Attempt): void {
     const {endpoint, work} = attempt;
     if (!endpoint.isQuarantined) return;
--- a/packages/core/src/scheduling/batch_target.ts
+++ b/packages/core/src/scheduling/batch_target.ts
@@ -1,25 +1,25 @@
 /**
- * How many rollouts of a step to run at once. Full batches make the most tokens,
- * but each stream slows down as the batch grows, and a step is as late as its
- * longest sample. With K streams the whole takes work/K turns and the longest
- * sample takes its own length in turns; both turns are equally long, so that
- * both end together at K = work / longest, whatever the engines' speed.
+ * Computes how many rollouts of a step to run at once. Larger batches have more
+ * throughput, but slow down each stream, and a step completes only with its
+ * longest sample. With K streams, the step needs tokens / K decoding rounds and
+ * its longest sample as many as its own tokens. Both end together at
+ * K = tokens / longestTokens, whatever the engines' speed.
  */
 
-/** What a step has left to generate. */
+/** Tokens that a step still has to generate. */
 export interface RemainingWork {
-  /** Expected tokens of all its works, queued and running. */
+  /** Expected remaining tokens of all its work items, queued and running. */
   readonly tokens: number;
-  /** Expected tokens of the one that takes longest from now. */
+  /** Expected remaining tokens of its longest work item. */
   readonly longestTokens: number;
 }
 
-/** Streams beyond the ideal, as lengths are only expected and don't pack tightly. */
+/** Factor on the ideal number, as lengths are estimates and don't pack evenly. */
 const SLACK = 2;
-/** Streams on each endpoint that slow one another too little to be held back. */
+/** Always allowed streams per endpoint; they hardly slow each other down. */
 const UNRESTRICTED_STREAMS_PER_ENDPOINT = 9;
 
-/** The number of streams at which the step is expected to be whole first. */
+/** Returns the number of streams expected to complete the step earliest. */
 export function computeBatchTarget(
   remaining: RemainingWork,
   endpoints: number,
--- a/packages/core/src/scheduling/binary_heap.ts
+++ b/packages/core/src/scheduling/binary_heap.ts
@@ -1,9 +1,9 @@
-/** A priority queue on an array. */
+/** A priority queue stored as a binary heap in an array. */
 
 export class BinaryHeap<T> {
   private readonly items: T[] = [];
 
-  /** `isBefore(a, b)` tells whether `a` leaves the heap earlier than `b`. */
+  /** `isBefore(a, b)` returns whether `a` leaves the heap before `b`. */
   constructor(private readonly isBefore: (a: T, b: T) => boolean) {}
 
   get size(): number {
@@ -35,7 +35,7 @@
     return first;
   }
 
-  /** Drops all items for which `keep` is false. */
+  /** Removes all items for which `keep` returns false. */
   retain(keep: (item: T) => boolean): void {
     const retained = this.items.filter(keep);
     this.items.length = 0;
--- a/packages/core/src/scheduling/concurrency_limit.ts
+++ b/packages/core/src/scheduling/concurrency_limit.ts
@@ -1,34 +1,35 @@
 /**
- * How many requests an endpoint takes at once, found from its reports, and how
- * the VMs share that number without a coordinator.
+ * Finds how many concurrent requests an endpoint can run, from its reports, and
+ * divides that number among the VMs without a coordinator.
  */
 
 import type {LoadReport} from '@radishyoke/shared/endpoint';
 
-/** The limit before anything is known. */
+/** The limit before any report. */
 const INITIAL_LIMIT = 16;
 const MIN_LIMIT = 1;
 const MAX_LIMIT = 1024;
-/** Part of the limit in use from which on it may grow. */
+/** Share of the limit that must be in use for it to grow. */
 const GROWTH_MIN_UTILIZATION = 0.8;
 const GROWTH_FACTOR = 1.15;
 const REJECTION_FACTOR = 0.7;
-/** Part by which a batch may differ between two reports and count as the same. */
+/** Relative difference up to which two batch sizes count as equal. */
 const SAME_BATCH_TOLERANCE = 0.05;
-/** How long a limit that was found is believed before more is tried. */
+/** Time for which a ceiling found at saturation holds before it is raised. */
 const CEILING_VALID_MS = 10_000;
-/** How much more is tried then. */
+/** Factor by which the ceiling is raised then. */
 const CEILING_RAISE_FACTOR = 1.1;
 
 /**
- * Adapts one endpoint's limit. Engines admit all that comes: what they can't run
- * waits inside, where no priority holds. So the limit follows what runs as soon
- * as anything stays waiting there, and grows while the endpoint keeps up.
+ * Adapts the concurrency limit of one endpoint. Engines accept all requests and
+ * queue inside what they can't run, where priorities have no effect. So the limit
+ * drops to the running number once requests keep waiting there, and grows while
+ * the endpoint keeps up.
  */
 export class ConcurrencyLimit {
   private value = INITIAL_LIMIT;
   private rejectedAtMs = -Infinity;
-  /** What the endpoint was seen to run while more waited. */
+  /** Number of requests that ran when the endpoint was last saturated. */
   private ceiling = MAX_LIMIT;
   private ceilingAtMs = 0;
   private lastReport?: LoadReport;
@@ -42,8 +43,8 @@
     const previous = this.lastReport;
     this.lastReport = report;
     if (previous && isSaturated(previous, report)) {
-      // Growing past this again and again would make interactive requests wait
-      // inside the endpoint each time.
+      // Each time the limit grew past this ceiling, interactive requests would wait
+      // inside the endpoint.
       this.ceiling = running;
       this.ceilingAtMs = measuredAtMs;
       this.value = clamp(Math.min(this.value, running));
@@ -53,7 +54,7 @@
       this.ceiling = clamp(Math.ceil(this.ceiling * CEILING_RAISE_FACTOR));
       this.ceilingAtMs = measuredAtMs;
     }
-    // A report from before the endpoint refused work knows nothing of it.
+    // A report measured before the last rejection doesn't reflect it.
     if (measuredAtMs <= this.rejectedAtMs) return;
     if (running >= this.value * GROWTH_MIN_UTILIZATION) {
       this.value = Math.min(
@@ -70,10 +71,9 @@
 }
 
 /**
- * Whether the endpoint runs all it can. Engines form their batch anew every so
- * often, and what has just come waits until then; a limit that took this for
- * saturation would fall to whatever runs. So something has to wait in two
- * reports, with the batch no larger in the later one.
+ * Whether the endpoint runs as many requests as it can. Engines rebuild their
+ * batch at intervals, and new requests wait until then, which is no saturation.
+ * So requests must be waiting in two reports in a row with batches of equal size.
  */
 function isSaturated(previous: LoadReport, current: LoadReport): boolean {
   const isWaiting = previous.waiting > 0 && current.waiting > 0;
@@ -90,11 +90,11 @@
 }
 
 /**
- * Divides `limit` among VMs by their demands: each gets what it asks for up to
- * an equal share, and what is not asked for goes to the others in equal parts.
- * Every VM computes the same parts from the same view, in the same order, so
- * that they add up to at most `limit`. Remainders go to the first VMs from
- * `offset` on, which differs by endpoint, so that no VM is favoured everywhere.
+ * Divides `limit` among VMs by max-min fairness: each gets its demand up to an
+ * equal share, and what others don't need is divided equally among the rest.
+ * VMs with the same view compute the same shares, which add up to at most
+ * `limit`. Remainders go to the VMs from `offset` on, which differs by endpoint
+ * so that no VM is favoured everywhere.
  */
 export function divideLimit(
   limit: number,
--- a/packages/core/src/scheduling/crash_tracker.ts
+++ b/packages/core/src/scheduling/crash_tracker.ts
@@ -1,4 +1,4 @@
-/** Sees crashes of endpoints in failed attempts, and who ran there then. */
+/** Detects endpoint crashes from failed attempts, with the requests in flight. */
 
 import type {EndpointId} from '@radishyoke/shared/ids';
 import type {EndpointState} from './endpoint_state.js';
@@ -6,19 +6,19 @@
 import type {SuspectList} from './suspect_list.js';
 import type {Attempt} from './work_state.js';
 
-/** A crash as the other VMs are told of it. */
+/** A crash as reported to the other VMs. */
 export interface CrashReport {
   readonly endpoint: EndpointId;
   readonly fingerprints: readonly string[];
 }
 
-/** Feeds the suspect list; each method returns the crash it found, if any. */
+/** Records detected crashes in the suspect list. */
 export class CrashTracker {
   constructor(private readonly suspects: SuspectList) {}
 
   /**
-   * Takes the end of an attempt, before the attempt is closed; `here` is all
-   * that runs on the same endpoint, the attempt included.
+   * Handles a failed attempt, before it is closed; `endpointAttempts` are all
+   * attempts on its endpoint, including it. Returns the crash detected, if any.
    */
   recordFailure(
     attempt: Attempt,
@@ -38,7 +38,7 @@
     }
   }
 
-  /** Counts a crash once, with all that ran there then. */
+  /** Records a crash once for all attempts on the endpoint. */
   private recordCrash(
     attempt: Attempt,
     endpointAttempts: Iterable<Attempt>,
@@ -64,8 +64,9 @@
   }
 
   /**
-   * A crash of a plain service shows as broken connections, and as a refused
-   * one when it is tried again. Neither alone tells of a crash.
+   * A crash of a plain service appears as broken connections followed by a refused
+   * one; neither alone indicates a crash. For an isolated suspect, a broken
+   * connection suffices.
    */
   private recordLostConnection(
     attempt: Attempt,
--- a/packages/core/src/scheduling/drain_rate.ts
+++ b/packages/core/src/scheduling/drain_rate.ts
@@ -1,8 +1,11 @@
-/** How fast a queue drains, measured only while there is something to drain. */
+/** Measures how fast a queue drains, only while it has a backlog. */
 
-/** Ms of backlog after which older measurements weigh a third. */
+/**
+ * Time constant of the exponential decay, in ms of backlog: older measurements
+ * fall to about a third.
+ */
 const MEMORY_MS = 10_000;
-/** Ms of backlog needed before the rate is believed. */
+/** Ms of measured backlog needed before the rate is used. */
 const MIN_BUSY_MS = 1000;
 
 export class DrainRate {
@@ -12,8 +15,8 @@
   private wasBacklogged = false;
 
   /**
-   * Notes the queue's state after some event. A quiet queue drains slowly for
-   * want of work; counting that time would refuse the next burst for nothing.
+   * Records the queue's state after an event. Time without a backlog is left out:
+   * it would lower the rate, and the next burst would be refused needlessly.
    */
   record(nowMs: number, drainedCost: number, isBacklogged: boolean): void {
     if (this.wasBacklogged) {
@@ -26,7 +29,7 @@
     this.wasBacklogged = isBacklogged;
   }
 
-  /** Expected ms until `cost` has drained; undefined when nothing is known. */
+  /** Returns the expected ms until `cost` has drained; undefined if unknown. */
   estimateMs(cost: number): number | undefined {
     if (this.busyMs < MIN_BUSY_MS || this.cost <= 0) return undefined;
     return (cost / this.cost) * this.busyMs;
--- a/packages/core/src/scheduling/endpoint_directory.ts
+++ b/packages/core/src/scheduling/endpoint_directory.ts
@@ -1,6 +1,6 @@
 /**
- * All endpoints a VM knows, by group, and the events that tell of them: the VM
- * list, load reports, peers' digests and cache events.
+ * All endpoints of a VM by group, updated from the VM list, load reports, peers'
+ * digests and cache events.
  */
 
 import type {EndpointInfo, LoadReport} from '@radishyoke/shared/endpoint';
@@ -14,7 +14,7 @@
 import {SpeedModel} from './speed_model.js';
 import type {WorkState} from './work_state.js';
 
-/** One group's endpoints and what waits for them. */
+/** The endpoints of one group and the work items waiting for them. */
 export class EndpointGroup {
   readonly pool: EndpointPool;
   readonly speed = new SpeedModel();
@@ -26,12 +26,12 @@
     interactive: new DrainRate(),
     rollout: new DrainRate(),
   };
-  /** Works for which no endpoint has the weights. */
+  /** Work items that no endpoint with room can serve, for its weights or model. */
   parked: WorkState[] = [];
-  /** Works under suspicion that wait for their turn to run alone. */
+  /** Suspected work items waiting for an endpoint without another suspect. */
   quarantined: WorkState[] = [];
   readonly runningQuarantined = new Set<WorkState>();
-  /** Whether rollouts wait for the next tick before they start. */
+  /** Whether rollouts are delayed to the next tick. */
   isGathering = false;
 
   constructor(random: RandomBits) {
@@ -46,7 +46,7 @@
   private namedGroups: readonly NamedGroup[] = [];
   private readonly memberships = new Map<EndpointState, Set<EndpointGroup>>();
   private readonly peerEndpoints = new Map<VmId, ReadonlySet<EndpointId>>();
-  /** Endpoints whose backoff ends with time alone. */
+  /** Endpoints that failed and become usable again when their backoff ends. */
   private readonly suspectedEndpoints = new Set<EndpointState>();
 
   constructor(
@@ -65,12 +65,15 @@
     return group;
   }
 
-  /** The groups that an endpoint is in: its label's and those that name it. */
+  /**
+   * Returns the groups of an endpoint: the one of its label and the named
+   * groups listing it.
+   */
   groupsOf(endpoint: EndpointState): Iterable<EndpointGroup> {
     return this.memberships.get(endpoint) ?? [];
   }
 
-  /** Takes the groups that rules define by endpoint. */
+  /** Replaces the groups that the rules define by endpoint ids. */
   setNamedGroups(groups: readonly NamedGroup[], nowMs: number): void {
     this.namedGroups = groups;
     for (const endpoint of this.endpoints.values()) {
@@ -79,7 +82,7 @@
     }
   }
 
-  /** Takes the VM list. An endpoint that is no longer listed has left. */
+  /** Applies the VM list; endpoints that are no longer listed are removed. */
   setEndpoints(infos: readonly EndpointInfo[], nowMs: number): void {
     const listed = new Set(infos.map(info => info.id));
     for (const endpoint of [...this.endpoints.values()]) {
@@ -127,14 +130,14 @@
     }
   }
 
-  /** The endpoint holds the prefix, or will once it has read the prompt. */
+  /** Records that the endpoint caches the prefix, or will after prefilling. */
   recordPrefix(endpoint: EndpointState, prefixKey: string): void {
     for (const group of this.groupsOf(endpoint)) {
       group.pool.prefixes.record(prefixKey, endpoint);
     }
   }
 
-  /** To be called after anything about the endpoint changed. */
+  /** Must be called after any change of the endpoint. */
   refresh(endpoint: EndpointState, nowMs: number): void {
     if (this.endpoints.get(endpoint.id) !== endpoint) return;
     if (endpoint.health.isSuspected) this.suspectedEndpoints.add(endpoint);
@@ -144,7 +147,7 @@
     }
   }
 
-  /** Looks again at the endpoints that come back with time. */
+  /** Refreshes and returns suspected endpoints; their backoff may have ended. */
   refreshSuspected(nowMs: number): readonly EndpointState[] {
     const endpoints = [...this.suspectedEndpoints];
     for (const endpoint of endpoints) this.refresh(endpoint, nowMs);
--- a/packages/core/src/scheduling/endpoint_health.ts
+++ b/packages/core/src/scheduling/endpoint_health.ts
@@ -1,15 +1,15 @@
 /**
- * Whether an endpoint may get new work: leaving by the first sign of any
- * source, suspected after failures, and probed back into use.
+ * Whether an endpoint may receive new work. It is leaving as soon as any source
+ * says so; after failures it is suspected and retried with exponential backoff.
  */
 
 import type {EndpointInfo, LoadReport} from '@radishyoke/shared/endpoint';
 import type {FailureKind} from './failure.js';
 
-/** First wait before an endpoint is tried again after it failed. */
+/** Backoff after the first failure, ms. */
 const FIRST_BACKOFF_MS = 500;
 const MAX_BACKOFF_MS = 10_000;
-/** Silent connections in a row, with nothing heard between, that count as failure. */
+/** Silent attempts without a response between them that count as a failure. */
 const SILENCES_TO_SUSPECT = 3;
 
 export class EndpointHealth {
@@ -22,15 +22,15 @@
   private retryAtMs = 0;
 
   /**
-   * The list lags: an endpoint that says itself that it leaves is still listed
-   * as live for seconds and would get work that it can't finish. Each source
-   * is therefore kept on its own, and either one suffices.
+   * Records the state in the VM list, separately from the endpoint's own reports.
+   * The list lags by seconds: an endpoint that reports leaving may still be listed
+   * as live and would receive work that it can't finish, so either source suffices.
    */
   recordListed(info: EndpointInfo): void {
     this.isListedLeaving = info.state === 'leaving';
   }
 
-  /** Returns whether the report is news; reports can come out of order. */
+  /** Returns false for an outdated report; reports can arrive out of order. */
   recordReport(report: LoadReport): boolean {
     if (report.measuredAtMs < this.reportedAtMs) return false;
     this.reportedAtMs = report.measuredAtMs;
@@ -39,7 +39,7 @@
     return true;
   }
 
-  /** Output or an answer came: the endpoint lives. */
+  /** Clears failures after output or an answer from the endpoint. */
   recordAlive(): void {
     this.failures = 0;
     this.silences = 0;
@@ -48,10 +48,9 @@
 
   recordFailure(failure: FailureKind, nowMs: number): void {
     if (failure === 'silent') {
-      // A connection can go silent for good while new ones work. It shows as
-      // one attempt without progress on an endpoint that others hear from, so
-      // one silence says nothing of the endpoint; several with nothing heard
-      // between them do.
+      // A single connection can stall permanently while the endpoint still serves
+      // others. Only several silent attempts without any response between them
+      // indicate a failure of the endpoint.
       this.silences++;
       if (this.silences < SILENCES_TO_SUSPECT) return;
     } else if (!isEndpointFailure(failure)) {
@@ -68,18 +67,21 @@
     return this.isListedLeaving || this.isReportedLeaving;
   }
 
-  /** Failed lately; at most one probe at a time may go there once due. */
+  /**
+   * Whether it failed and has not responded since; once the backoff ends, one
+   * request at a time may be sent.
+   */
   get isSuspected(): boolean {
     return this.failures > 0;
   }
 
-  /** Whether new work may go there. */
+  /** Whether new work may be sent there. */
   isUsable(nowMs: number): boolean {
     return !this.isLeaving && nowMs >= this.retryAtMs;
   }
 }
 
-/** Whether the failure speaks against the endpoint rather than the request. */
+/** Whether the failure indicates a fault of the endpoint, not the request. */
 function isEndpointFailure(failure: FailureKind): boolean {
   return (
     failure === 'crashed' ||
--- a/packages/core/src/scheduling/endpoint_pool.ts
+++ b/packages/core/src/scheduling/endpoint_pool.ts
@@ -1,7 +1,6 @@
 /**
- * The endpoints of one group, indexed so that a choice costs the same however
- * many there are: those that may get work stand in an array from which a few
- * are drawn at random.
+ * The endpoints of one group. Usable endpoints are indexed so that choosing one
+ * takes the same time for any group size: a few random candidates are compared.
  */
 
 import type {EndpointId} from '@radishyoke/shared/ids';
@@ -13,27 +12,27 @@
 import type {WorkClass} from './scheduler.js';
 
 /**
- * Candidates drawn at random for a choice. VMs that read the same late reports
- * would otherwise all send to the one endpoint that looked idle, until the next
- * report shows it as the fullest of all.
+ * Number of random candidates per choice. If all endpoints were compared, VMs
+ * with the same outdated reports would all send to the one that looked idle and
+ * overload it until the next report.
  */
 const RANDOM_CANDIDATES = 3;
-/** Interactive requests, which are few, compare all of up to this many. */
+/** For interactive requests, groups of up to this size are compared completely. */
 const MAX_COMPARED_EXHAUSTIVELY = 6;
-/** Draws after which a crowded group counts as full. */
+/** Random picks after which a crowded group is treated as full. */
 const MAX_RANDOM_PICKS = 12;
 
-/** What a choice depends on besides the endpoints. */
+/** Properties of a work item that determine the choice of its endpoint. */
 export interface EndpointRequirements extends ScoredWork {
   readonly workClass: WorkClass;
   readonly minWeightVersion: number;
-  /** Model that has to be served; absent for any. */
+  /** Model that the endpoint must serve; absent for any. */
   readonly model?: string;
-  /** Empty for none. */
+  /** Key of the prompt's prefix; empty for none. */
   readonly prefixKey: string;
-  /** Whether it must not meet another suspect. */
+  /** Whether it is a suspect; only one may run on an endpoint. */
   readonly isSuspect: boolean;
-  /** Endpoint to stay away from if there is another. */
+  /** Endpoint to use only if no other is eligible. */
   readonly avoid?: EndpointId;
 }
 
@@ -41,9 +40,9 @@
   readonly endpoints = new Map<EndpointId, EndpointState>();
   readonly prefixes = new PrefixIndex();
   newestVersion = 0;
-  /** May get work at all. */
+  /** Endpoints that may receive work. */
   private readonly usable = new RandomSet<EndpointState>();
-  /** Have room for one more rollout. */
+  /** Usable endpoints with room for one more rollout. */
   private readonly withRolloutRoom = new RandomSet<EndpointState>();
 
   constructor(private readonly random: RandomBits) {}
@@ -58,7 +57,7 @@
     this.withRolloutRoom.setMember(endpoint, false);
   }
 
-  /** Brings the index up to date after anything changed at the endpoint. */
+  /** Updates the index after any change of the endpoint. */
   refresh(endpoint: EndpointState, vmView: VmView, nowMs: number): void {
     const isUsable = this.isUsable(endpoint, nowMs);
     const hasRoom = isUsable && endpoint.hasRoomFor('rollout', vmView);
@@ -79,7 +78,7 @@
     return this.withRolloutRoom.size > 0;
   }
 
-  /** The best of a few candidates, or undefined when none has room. */
+  /** Returns the best of a few candidates, or undefined if none is eligible. */
   choose(
     requirements: EndpointRequirements,
     vmView: VmView,
@@ -128,12 +127,12 @@
 
   private isUsable(endpoint: EndpointState, nowMs: number): boolean {
     if (!endpoint.health.isUsable(nowMs)) return false;
-    // After a failure one probe at a time, until something is heard.
+    // After a failure, one request at a time until the endpoint responds.
     return !endpoint.health.isSuspected || endpoint.inFlight === 0;
   }
 }
 
-/** What an endpoint that failed this very work counts as worse by. */
+/** Score penalty for the endpoint to avoid, ms. */
 const AVOIDED_PENALTY_MS = 60_000;
 
 function isEligible(
--- a/packages/core/src/scheduling/endpoint_score.ts
+++ b/packages/core/src/scheduling/endpoint_score.ts
@@ -1,42 +1,42 @@
 /**
- * The expected time until a work would be complete at an endpoint, by which the
- * candidates are compared.
+ * Estimates the time until a work item would complete on an endpoint; candidate
+ * endpoints are compared by it.
  */
 
 import type {DataCentreId} from '@radishyoke/shared/ids';
 import type {EndpointState} from './endpoint_state.js';
 import type {SpeedModel} from './speed_model.js';
 
-/** Prompt tokens a second that an engine is assumed to prefill. */
+/** Assumed prefill speed of an engine. */
 const PREFILL_TOKENS_PER_SECOND = 8000;
-/** Tokens a second of one stream where none was measured yet. */
+/** Assumed tokens per second of one stream before any measurement. */
 const ASSUMED_STREAM_SPEED = 50;
-/** Added by another data centre, there and back. */
+/** Round trip time to another data centre. */
 const OTHER_DATA_CENTRE_MS = 3;
-/** A report says nothing of the present after this long. */
+/** Age at which a report is ignored. */
 const MAX_REPORT_AGE_MS = 5000;
-/** Ms of expected time that each version behind the newest counts for. */
+/** Penalty per weight version behind the newest, ms. */
 const VERSION_LAG_COST_MS = 2000;
-/** Slow-down of a stream by a full endpoint, relative to an empty one. */
+/** Relative increase in token time from an empty to a full endpoint. */
 const LOAD_SLOWDOWN = 1;
 
-/** What is to be placed. */
+/** The properties of a work item that affect its completion time. */
 export interface ScoredWork {
   readonly promptTokens: number;
   readonly expectedTokens: number;
   readonly isRollout: boolean;
 }
 
-/** What is the same for all candidates. */
+/** Inputs that are the same for all candidates. */
 export interface ScoreView {
   readonly dataCentre: DataCentreId;
   readonly newestVersion: number;
   readonly nowMs: number;
-  /** Absent where each endpoint's own speed is used alone. */
+  /** Speed model of the group; absent to use only each endpoint's own speed. */
   readonly speed?: SpeedModel;
 }
 
-/** Expected ms until completion; lower is better. */
+/** Returns the expected ms until completion plus penalties; lower is better. */
 export function scoreEndpoint(
   endpoint: EndpointState,
   work: ScoredWork,
@@ -58,14 +58,14 @@
   return distanceMs + firstTokenMs + decodeMs + lag * VERSION_LAG_COST_MS;
 }
 
-/** Expected ms for one token of a stream that joins at the endpoint. */
+/** Returns the expected ms per token of a stream added to the endpoint. */
 export function estimateTokenMs(
   endpoint: EndpointState,
   view: Pick<ScoreView, 'speed' | 'nowMs'>,
 ): number {
   const inFlight = estimateInFlight(endpoint, view.nowMs);
   const {limit} = endpoint.limit;
-  // Beyond its limit the endpoint queues, and the batch grows no further.
+  // Requests beyond the limit are queued in the endpoint and don't enlarge its batch.
   const queueingFactor = Math.max(1, (inFlight + 1) / limit);
   if (view.speed) {
     const streams = Math.min(limit, inFlight + 1);
@@ -75,14 +75,14 @@
   return (1e3 / speed) * (1 + (LOAD_SLOWDOWN * inFlight) / limit);
 }
 
-/** Own and peers' work, and what a report adds. */
+/** Returns the tracked requests in flight plus those only the report shows. */
 function estimateInFlight(endpoint: EndpointState, nowMs: number): number {
   const tracked = endpoint.totalInFlight;
   const {report} = endpoint;
   let inFlight = tracked;
   if (report) {
-    // The report counts what nobody told us of, but it is old: its surplus
-    // over what is known fades with its age.
+    // The report includes requests that no VM has announced, but it is outdated:
+    // its surplus over the tracked requests is weighted down with its age.
     const ageMs = Math.max(0, nowMs - report.measuredAtMs);
     const weight = Math.max(0, 1 - ageMs / MAX_REPORT_AGE_MS);
     const untracked = report.running + report.waiting - tracked;
--- a/packages/core/src/scheduling/endpoint_state.ts
+++ b/packages/core/src/scheduling/endpoint_state.ts
@@ -1,4 +1,4 @@
-/** What one VM knows of one endpoint. */
+/** The state of one endpoint as one VM sees it. */
 
 import type {EndpointInfo, LoadReport} from '@radishyoke/shared/endpoint';
 import type {EndpointId, VmId} from '@radishyoke/shared/ids';
@@ -6,39 +6,42 @@
 import {EndpointHealth} from './endpoint_health.js';
 import type {WorkClass} from './scheduler.js';
 
-/** Part of an endpoint's limit that rollouts leave to interactive requests. */
+/** Share of an endpoint's limit reserved for interactive requests. */
 const INTERACTIVE_RESERVE = 0.1;
-/** A broken and a refused connection within this time make a crash; tries are up to 10 s apart. */
+/**
+ * A refused connection this soon after a broken one indicates a crash; retries
+ * are up to 10 s apart.
+ */
 const LOST_CONNECTION_WINDOW_MS = 15_000;
-/** Weight of the newest ms of a stream in the speed estimate. */
+/** Time constant of the decay in the speed and slowness estimates, ms. */
 const SPEED_DECAY_MS = 5000;
 
-/** The VMs that share the endpoints, as the owner of the state sees them. */
+/** This VM and all live VMs that share the endpoints. */
 export interface VmView {
   readonly self: VmId;
   readonly vms: readonly VmId[];
 }
 
-/** A request under suspicion that runs on an endpoint. */
+/** A request suspected of crashing endpoints that runs on an endpoint. */
 export interface RunningSuspect {
   readonly workId: string;
   readonly fingerprint: string;
 }
 
-/** Figures and guesses about one endpoint, kept up to date by events. */
+/** Measurements and estimates for one endpoint, updated by events. */
 export class EndpointState {
   readonly id: EndpointId;
   readonly limit = new ConcurrencyLimit();
   readonly health = new EndpointHealth();
   report?: LoadReport;
   weightVersion = 0;
-  /** Own attempts in flight here, by class. */
+  /** This VM's attempts in flight on the endpoint, by class. */
   readonly running: Record<WorkClass, number> = {interactive: 0, rollout: 0};
-  /** Prompt tokens of own attempts that have shown no output yet. */
+  /** Prompt tokens of this VM's attempts that have produced no output yet. */
   pendingPromptTokens = 0;
-  /** The suspect that runs here; no other suspect goes there. */
+  /** The suspect running on the endpoint; no second suspect is sent there. */
   suspect?: RunningSuspect;
-  /** Whether nothing at all goes there, as the suspect has yet to show output. */
+  /** Whether no requests are sent there, as its suspect is isolated. */
   isQuarantined = false;
   private readonly peers = new Map<VmId, number>();
   private peerTotal = 0;
@@ -62,17 +65,17 @@
     return this.running.interactive + this.running.rollout;
   }
 
-  /** In flight by all VMs, as far as known. */
+  /** Requests in flight from this VM and, as last reported, from its peers. */
   get totalInFlight(): number {
     return this.inFlight + this.peerTotal;
   }
 
-  /** Tokens a second that one stream gets here, or 0 when not yet measured. */
+  /** Tokens per second of one stream, or 0 when not yet measured. */
   get streamSpeed(): number {
     return this.streamMs > 0 ? (this.streamTokens / this.streamMs) * 1e3 : 0;
   }
 
-  /** How many times slower than an ordinary endpoint at the same load. */
+  /** Token time relative to that of an ordinary endpoint at the same load. */
   get slowness(): number {
     return this.slownessMean;
   }
@@ -98,10 +101,9 @@
   }
 
   /**
-   * Takes the version that the endpoint showed at `seenAtMs`. It can fall: an
-   * engine that crashed may come back with what it had on its disk, and a
-   * failed swap leaves the old one. A report that is older than what a stream
-   * has shown since says nothing.
+   * Records the weight version observed at `observedAtMs`; older observations are
+   * ignored. The version can decrease: a crashed engine may restart with the
+   * weights on its disk, and a failed swap leaves the old ones loaded.
    */
   recordWeightVersion(version: number, observedAtMs: number): void {
     if (observedAtMs < this.versionObservedAtMs) return;
@@ -117,7 +119,7 @@
     this.isAllowanceStale = true;
   }
 
-  /** Forgets peers that are gone. */
+  /** Drops the load of peers that are no longer listed. */
   retainPeers(vms: readonly VmId[]): void {
     for (const vm of this.peers.keys()) {
       if (!vms.includes(vm)) this.recordPeerLoad(vm, 0);
@@ -129,20 +131,20 @@
     this.isAllowanceStale = true;
   }
 
-  /** Whether one more of `workClass` may go there. */
+  /** Whether one more request of `workClass` may be sent there. */
   hasRoomFor(workClass: WorkClass, view: VmView): boolean {
     if (this.isQuarantined) return false;
     const limit = this.limit.limit;
     if (workClass === 'interactive') {
-      // The reserve is for requests that come now and then, from any VM; what
-      // peers have is known late, so own interactive work may always use it.
+      // The reserve serves occasional requests from any VM. Peers' load is known
+      // with a delay, so this VM's interactive requests may always use it.
       const reserve = measureReserve(limit);
       return this.running.interactive < reserve || this.totalInFlight < limit;
     }
     return this.running.rollout < this.measureAllowance(view);
   }
 
-  /** Rollouts that this VM may have in flight here. */
+  /** Returns the number of rollouts that this VM may have in flight there. */
   measureAllowance(view: VmView): number {
     if (this.isAllowanceStale) {
       this.isAllowanceStale = false;
@@ -151,7 +153,7 @@
     return this.allowance;
   }
 
-  /** A connection broke while this request ran. */
+  /** Records that the connection broke while this request ran. */
   recordLostConnection(fingerprint: string, nowMs: number): void {
     this.lostConnections = this.lostConnections.filter(
       l => nowMs - l.atMs < LOST_CONNECTION_WINDOW_MS,
@@ -159,7 +161,7 @@
     this.lostConnections.push({fingerprint, atMs: nowMs});
   }
 
-  /** Takes out the requests whose connections broke a short while ago. */
+  /** Clears the broken connections; returns the fingerprints of recent ones. */
   takeLostConnections(nowMs: number): readonly string[] {
     const {lostConnections} = this;
     this.lostConnections = [];
@@ -168,12 +170,12 @@
       .map(connection => connection.fingerprint);
   }
 
-  /** The endpoint's cache is gone, after a crash or with new weights. */
+  /** Records that a crash or new weights cleared the endpoint's prefix cache. */
   invalidateCache(): void {
     this.invalidations++;
   }
 
-  /** Counts the times that the cache was lost. */
+  /** Number of times that the prefix cache was lost. */
   get cacheEpoch(): number {
     return this.invalidations;
   }
@@ -183,8 +185,8 @@
     const forRollouts = Math.max(1, limit - measureReserve(limit));
     if (this.peers.size === 0) return forRollouts;
     const vms = view.vms.filter(vm => vm === view.self || this.peers.has(vm));
-    // What this VM would take if it could, and what the others do take: an
-    // idle VM's share is lent until its digest shows work there.
+    // This VM's demand is all it could use, the others' what they have in flight
+    // plus one: a VM's unused share is lent until its digest shows more load.
     const demands = vms.map(vm =>
       vm === view.self ? forRollouts : this.peers.get(vm)! + 1,
     );
@@ -197,7 +199,7 @@
   return limit <= 1 ? 1 : Math.max(1, Math.floor(limit * INTERACTIVE_RESERVE));
 }
 
-/** Spreads remainders of shares over the VMs differently for each endpoint. */
+/** Hashes an endpoint id to the `offset` for dividing its limit. */
 function hashOffset(id: string): number {
   let hash = 0;
   for (let i = 0; i < id.length; i++) {
--- a/packages/core/src/scheduling/failure.ts
+++ b/packages/core/src/scheduling/failure.ts
@@ -1,22 +1,22 @@
-/** How one attempt on an endpoint can end. */
+/** The ways in which one attempt on an endpoint can end. */
 
 import type {TokenSpan} from '@radishyoke/shared/rollout';
 
-/** The closed list of ways in which an attempt fails. */
+/** All ways in which an attempt can fail. */
 export type FailureKind =
   /** No connection was made; nothing was sent. */
   | 'connect_failed'
-  /** Connected, but nothing was heard for the progress timeout. */
+  /** Connected, but nothing was received within the progress timeout. */
   | 'silent'
   /** The connection broke after the request could have been received. */
   | 'connection_lost'
   /** The endpoint's process crashed while it had the request. */
   | 'crashed'
-  /** The endpoint answered that it takes no more (429 or 503). */
+  /** The endpoint rejected the request for overload (429 or 503). */
   | 'rejected'
-  /** The endpoint answered with another 5xx. */
+  /** The endpoint returned another 5xx. */
   | 'server_error'
-  /** The endpoint answered with a 4xx other than 429. */
+  /** The endpoint returned a 4xx other than 429. */
   | 'client_error'
   /** The output is older than the staleness bound. */
   | 'stale';
@@ -25,7 +25,7 @@
 export type AttemptOutcome =
   | {
       readonly kind: 'finished';
-      /** Of the whole output, as are the spans. */
+      /** Includes resumed tokens, as do the spans. */
       readonly tokens: number;
       readonly spans: readonly TokenSpan[];
     }
@@ -34,7 +34,7 @@
       readonly failure: FailureKind;
       /** Whether any byte of the request may have reached the endpoint. */
       readonly sent: boolean;
-      /** Tokens of the whole output, those resumed from included. */
+      /** Tokens of the output received, including resumed ones. */
       readonly tokensReceived: number;
     }
   | {readonly kind: 'stopped'};
--- a/packages/core/src/scheduling/fair_queue.ts
+++ b/packages/core/src/scheduling/fair_queue.ts
@@ -1,21 +1,21 @@
 /**
  * The queue of one endpoint group and one work class: fair among tenants by
- * their cost, and within a tenant by priority, earliest deadline and longest
- * expected work.
+ * cost; within a tenant ordered by priority, items started before, earliest
+ * deadline and highest cost.
  */
 
 import type {TenantId} from '@radishyoke/shared/ids';
 import {BinaryHeap} from './binary_heap.js';
 
-/** What the queue needs to know of a work. */
+/** Properties of a work item by which the queue orders it. */
 export interface QueueEntry {
   readonly tenant: TenantId;
   /** Higher goes first. */
   readonly priority: number;
   readonly deadlineAtMs: number;
-  /** What it will take of an endpoint, in tokens. */
+  /** Expected cost for an endpoint, in tokens. */
   readonly cost: number;
-  /** Works that were begun before go first among equals. */
+  /** Whether it was started before; goes first among equal priorities. */
   readonly isStarted: boolean;
 }
 
@@ -28,20 +28,23 @@
 interface TenantQueue<T> {
   readonly tenant: TenantId;
   readonly entries: BinaryHeap<QueuedEntry<T>>;
-  /** Virtual time at which the tenant's next work starts. */
+  /** Virtual time at which the tenant's next entry starts. */
   virtualStart: number;
   cost: number;
   count: number;
   isActive: boolean;
 }
 
-/** Tenants without queued work are kept up to this many, to remember their share. */
+/**
+ * Tenants without queued entries are kept, with their virtual times, while
+ * there are at most this many tenants.
+ */
 const MAX_IDLE_TENANTS = 1000;
 
 /**
- * Weighted fair queueing by start times: each tenant has a virtual clock that
- * advances by the cost of what it was given, and the one that lies furthest back
- * is next. A flood moves only the flooder's own clock.
+ * Start-time fair queueing: each tenant has a virtual time that advances by the
+ * cost of its dequeued entries, and the tenant with the lowest virtual time is
+ * next. A flood of entries delays only the tenant that sent it.
  */
 export class FairQueue<T extends QueueEntry> {
   private readonly tenants = new Map<TenantId, TenantQueue<T>>();
@@ -63,8 +66,8 @@
   }
 
   /**
-   * Cost that is served before a new entry of `tenant` in fair turns: its own
-   * queue, and of each other tenant that waits at most as much.
+   * Estimates the cost dequeued before a new entry of `tenant`: the cost of its
+   * own queue, and at most as much for each other waiting tenant.
    */
   measureCostAhead(tenant: TenantId): number {
     const own = this.tenants.get(tenant)?.cost ?? 0;
@@ -79,7 +82,7 @@
     queue.count++;
     this.total++;
     if (queue.isActive) return;
-    // A tenant that was away doesn't get the time it was away for.
+    // A tenant gets no credit for the time in which it had nothing queued.
     queue.virtualStart = Math.max(queue.virtualStart, this.virtualNow);
     queue.isActive = true;
     this.active.push(queue);
@@ -101,7 +104,7 @@
     return entry;
   }
 
-  /** Takes an entry out for good, wherever it stands; it must be queued. */
+  /** Removes an entry, which must be queued. */
   remove(entry: T): void {
     this.removed.add(entry);
     const queue = this.getTenant(entry.tenant);
@@ -115,7 +118,7 @@
     this.total--;
   }
 
-  /** The tenant whose turn it is, with a live entry at its head. */
+  /** Returns the next tenant; discards removed entries at the heads of queues. */
   private findNext(): TenantQueue<T> | undefined {
     for (;;) {
       const queue = this.active.peek();
--- a/packages/core/src/scheduling/length_estimate.ts
+++ b/packages/core/src/scheduling/length_estimate.ts
@@ -1,31 +1,37 @@
 /**
- * How many tokens a sample will take. Samples of one group share their prompt
- * and tend to be alike in length, so that those that ended tell of the rest;
- * where none has, samples with about the same upper bound tell.
+ * Estimates how many tokens a sample will have. Samples of one group share their
+ * prompt and tend to have similar lengths, so the group's finished samples are
+ * used; before any, finished samples with a similar upper bound are.
  */
 
-/** Groups kept; older ones are forgotten. */
+/** Maximum number of groups stored; the oldest are dropped. */
 const MAX_GROUPS = 20_000;
-/** Share of the upper bound that is assumed before anything is known. */
+/** Assumed length before any measurement, as a share of the upper bound. */
 const INITIAL_SHARE = 0.5;
-/** Share of the upper bound that the longest sample of a step is taken to reach. */
+/**
+ * Assumed length of a step's longest sample before any measurement, as a share
+ * of the upper bound.
+ */
 const INITIAL_LONGEST_SHARE = 0.8;
 /** Weight of the newest sample in a group's mean. */
 const GROUP_WEIGHT = 0.3;
-/** Weight of the newest sample in the mean of all with such an upper bound. */
+/** Weight of the newest sample in the mean of those with a similar upper bound. */
 const BOUND_WEIGHT = 0.03;
-/** Weight of the newest step in the longest share. */
+/** Weight of the newest step in the mean share of longest samples. */
 const STEP_WEIGHT = 0.3;
-/** What has outlived its estimate will likely live on by this part again. */
+/**
+ * Expected further growth of a sample that exceeds its estimate, as a share of
+ * its length.
+ */
 const GROWTH_MARGIN = 0.25;
 
 export class LengthEstimate {
   private readonly groups = new Map<string, number>();
-  /** Mean share of the upper bound, by the bound's power of two. */
+  /** Mean length as a share of the upper bound, by the bound's power of two. */
   private readonly shares = new Map<number, number>();
   private longestShare = INITIAL_LONGEST_SHARE;
 
-  /** Notes the whole length of a finished sample. */
+  /** Records the length of a finished sample. */
   recordFinished(groupKey: string, tokens: number, maxTokens: number): void {
     if (maxTokens <= 0) return;
     const bucket = Math.floor(Math.log2(maxTokens));
@@ -43,14 +49,14 @@
     }
   }
 
-  /** Notes how long the longest sample of a whole step was. */
+  /** Records the length of the longest sample of a finished step. */
   recordStep(longestTokens: number, maxTokens: number): void {
     if (maxTokens <= 0) return;
     const deviation = longestTokens / maxTokens - this.longestShare;
     this.longestShare += STEP_WEIGHT * deviation;
   }
 
-  /** Expected whole length of a sample that has already `tokens`. */
+  /** Returns the expected total length of a sample that has `tokens` so far. */
   estimate(groupKey: string, maxTokens: number, tokens: number): number {
     const bucket = Math.floor(Math.log2(Math.max(1, maxTokens)));
     const share = this.shares.get(bucket) ?? INITIAL_SHARE;
@@ -59,7 +65,10 @@
     return Math.min(maxTokens, Math.max(mean, minimum));
   }
 
-  /** How long a sample with `tokens` may still take if it is its step's longest. */
+  /**
+   * Returns the expected remaining tokens of a sample that is its step's
+   * longest.
+   */
   estimateLongestRemaining(maxTokens: number, tokens: number): number {
     const remaining = this.longestShare * maxTokens - tokens;
     return Math.min(
--- a/packages/core/src/scheduling/naive_scheduler.ts
+++ b/packages/core/src/scheduling/naive_scheduler.ts
@@ -1,6 +1,6 @@
 /**
- * The scheduler that others are measured against: round robin over the live
- * endpoints of a group, first in first out, the whole request again on failure.
+ * A minimal scheduler as a baseline for comparisons: round robin over the live
+ * endpoints of a group, no queue, and failed requests restarted from the beginning.
  */
 
 import type {EndpointInfo} from '@radishyoke/shared/endpoint';
--- a/packages/core/src/scheduling/policy_options.ts
+++ b/packages/core/src/scheduling/policy_options.ts
@@ -1,29 +1,32 @@
-/** Switches by which experiments compare ways of deciding. */
+/** Feature switches with which experiments compare scheduling policies. */
 
 export interface PolicyOptions {
-  /** Second attempts for attempts that have gone quiet. */
+  /** Starts a second attempt when one shows no progress. */
   readonly hedging: boolean;
-  /** Moving stragglers to faster endpoints by their partial output. */
+  /** Moves stragglers to faster endpoints, resuming from their partial output. */
   readonly moving: boolean;
-  /** Going on from partial output after a failure. */
+  /** Resumes from partial output after a failure. */
   readonly resuming: boolean;
-  /** Counting a cached prefix in the expected time. */
+  /** Counts a cached prompt prefix in the expected completion time. */
   readonly prefixAffinity: boolean;
-  /** Longest expected first within a step. */
+  /** Starts the samples with the longest expected output first. */
   readonly longestFirst: boolean;
-  /** Holding back samples so that a step's longest aren't slowed for nothing. */
+  /** Limits a step's running samples so that its longest are not slowed down. */
   readonly pacing: boolean;
-  /** Waiting for a tick before rollouts start, so that a step's best go first. */
+  /**
+   * Delays rollouts of a group to the next tick when a step's samples arrive,
+   * so that they are ordered first.
+   */
   readonly gathering: boolean;
-  /** One suspect per endpoint at a time, rather than one per group. */
+  /** Allows one running suspect per endpoint instead of one per group. */
   readonly parallelQuarantine: boolean;
-  /** Attempts that never reached an endpoint don't count. */
+  /** Doesn't count a rollout's attempts that never reached an endpoint. */
   readonly forgiveUnsent: boolean;
-  /** Speeds by the number of streams, learned for the group. */
+  /** Predicts token times from a group-wide model of speed by number of streams. */
   readonly speedModel: boolean;
 }
 
-/** What is in use. */
+/** The default policy. */
 export const DEFAULT_POLICY: PolicyOptions = {
   hedging: false,
   moving: true,
@@ -37,7 +40,7 @@
   speedModel: true,
 };
 
-/** What was in use when this round of measuring began. */
+/** The baseline with which experiments compare the default policy. */
 export const BASELINE_POLICY: PolicyOptions = {
   ...DEFAULT_POLICY,
   hedging: true,
--- a/packages/core/src/scheduling/policy_scheduler.ts
+++ b/packages/core/src/scheduling/policy_scheduler.ts
@@ -1,9 +1,8 @@
 /**
- * Decides where and when work runs: fair queues before endpoints, adaptive
- * limits, candidates compared by expected time, retries by a closed table,
- * stragglers moved, and the staleness bound held from queue to handover.
- *
- * This module takes events and hands each to the part that it concerns.
+ * The default scheduler: fair queues per endpoint group, adaptive concurrency
+ * limits, endpoints compared by expected completion time, retries by a fixed
+ * table, straggler migration, and staleness bounds enforced from queueing to
+ * delivery. This module routes each event to the part that handles it.
  */
 
 import type {EndpointId} from '@radishyoke/shared/ids';
@@ -29,7 +28,7 @@
 import {WorkQueues} from './work_queues.js';
 import {WorkState} from './work_state.js';
 
-/** Stragglers are looked for this often, ms. */
+/** Interval of the scan for stragglers and parked work items, ms. */
 const STRAGGLER_SCAN_MS = 250;
 
 export class PolicyScheduler extends Scheduler {
@@ -41,7 +40,7 @@
   private readonly stragglers: StragglerScan;
   private scannedAtMs = 0;
 
-  /** `random` gives the bits by which candidates are drawn. */
+  /** `random` is the source of bits for picking candidate endpoints. */
   constructor(
     private readonly config: SchedulerConfig,
     random: RandomBits,
@@ -146,7 +145,7 @@
     }
   }
 
-  // Intake
+  // Admission
 
   private enqueue(item: WorkItem): void {
     if (this.state.workItems.has(item.id)) return;
@@ -159,8 +158,8 @@
     }
     this.addWork(work);
     this.queues.enqueue(work);
-    // The samples of a step come one by one; were the first to start at once,
-    // the longest would find the endpoints taken.
+    // The samples of a step arrive one by one. If the first ones started
+    // immediately, the longest might find all endpoints occupied.
     if (this.options.gathering && item.stepKey !== '') group.isGathering = true;
   }
 
@@ -174,18 +173,18 @@
     return findRefusal(work, group, pace.isOpen(work.item.stepKey), nowMs);
   }
 
-  /** Takes over a work that another VM had sent to an endpoint. */
+  /** Registers a work item that another VM has started on an endpoint. */
   private adopt(item: WorkItem, number: number, id: EndpointId): void {
     if (this.state.workItems.has(item.id)) return;
     const work = new WorkState(item, this.state.estimateLength(item, 0));
     this.addWork(work);
     work.attempts = number;
-    // Only the count is known: the earlier attempts went out from another VM.
+    // Another VM made the earlier attempts; all of them are assumed sent.
     work.sentAttempts = number;
     this.attempts.open(work, this.findOrCreateEndpoint(id, item.group), number);
   }
 
-  /** The endpoint, or a stand-in where the list no longer has it. */
+  /** Returns the endpoint, or a placeholder if it is no longer listed. */
   private findOrCreateEndpoint(id: EndpointId, group: string): EndpointState {
     return (
       this.state.directory.endpoints.get(id) ??
--- a/packages/core/src/scheduling/prefix_index.ts
+++ b/packages/core/src/scheduling/prefix_index.ts
@@ -1,18 +1,18 @@
 /**
- * Which endpoints are believed to hold a prompt's prefix: those that got it
- * from us or told of it, until they tell otherwise or lose their cache.
+ * Tracks which endpoints probably cache a prompt prefix: those that were sent it
+ * or reported it, until they report its eviction or lose their cache.
  */
 
 import type {EndpointState} from './endpoint_state.js';
 
-/** Endpoints remembered of one prefix, newest first. */
+/** Maximum number of endpoints stored per prefix, newest first. */
 const MAX_HOLDERS = 2;
-/** Prefixes remembered; the least recently used go first. */
+/** Maximum number of prefixes stored; the least recently recorded are dropped. */
 const MAX_PREFIXES = 20_000;
 
 interface Holder {
   readonly endpoint: EndpointState;
-  /** The endpoint's cache epoch when this was learned. */
+  /** The endpoint's cache epoch when this was recorded. */
   readonly cacheEpoch: number;
 }
 
--- a/packages/core/src/scheduling/random_bits.ts
+++ b/packages/core/src/scheduling/random_bits.ts
@@ -1,9 +1,9 @@
-/** A seeded source of random bits, so that a decision can be run again as it was. */
+/** Seeded pseudo-random numbers, so that decisions can be reproduced. */
 
 /** Returns the next 32 random bits as an unsigned integer. */
 export type RandomBits = () => number;
 
-/** A generator by the method of Weyl sequence and mixing; not for secrets. */
+/** Creates a generator that mixes a Weyl sequence; not cryptographically secure. */
 export function createRandomBits(seed: number): RandomBits {
   let state = seed >>> 0;
   return () => {
@@ -16,12 +16,12 @@
   };
 }
 
-/** A uniform integer from 0 up to but without `bound`. */
+/** Returns a uniform integer from 0 to `bound` - 1. */
 export function pickRandomBelow(random: RandomBits, bound: number): number {
   return Math.floor((random() / 2 ** 32) * bound);
 }
 
-/** Up to `count` different items, in random order. */
+/** Returns up to `count` different items in random order. */
 export function pickRandomItems<T>(
   random: RandomBits,
   items: readonly T[],
--- a/packages/core/src/scheduling/random_set.ts
+++ b/packages/core/src/scheduling/random_set.ts
@@ -1,4 +1,4 @@
-/** A set from which members are drawn at random in constant time. */
+/** A set that picks a random member in constant time. */
 
 import {pickRandomBelow, RandomBits} from './random_bits.js';
 
@@ -14,7 +14,7 @@
     return this.positions.has(member);
   }
 
-  /** Adds or takes out. */
+  /** Adds or removes a member. */
   setMember(member: T, isMember: boolean): void {
     const position = this.positions.get(member);
     if (isMember === (position !== undefined)) return;
@@ -30,7 +30,7 @@
     this.positions.set(last, position);
   }
 
-  /** A member by chance; the set must not be empty. */
+  /** Returns a uniformly random member; the set must not be empty. */
   pickRandom(random: RandomBits): T {
     return this.members[pickRandomBelow(random, this.members.length)];
   }
--- a/packages/core/src/scheduling/retry_policy.ts
+++ b/packages/core/src/scheduling/retry_policy.ts
@@ -1,8 +1,8 @@
 /**
- * What follows a failed attempt. One closed table from failure, idempotence,
- * whether the request was sent and whether output came, to one action. It keeps
- * the promise that a non-idempotent request runs at most once: once sent, its
- * row holds no second attempt.
+ * Decides what follows a failed attempt, by a fixed table over the failure,
+ * idempotence, whether the request was sent and whether output was received.
+ * The table guarantees that a non-idempotent request runs at most once: after
+ * it was sent, no entry allows a second attempt.
  */
 
 import type {ErrorKind} from '@radishyoke/shared/error_kind';
@@ -11,19 +11,19 @@
 import {TokenBucket} from './token_bucket.js';
 
 export type RetryAction =
-  /** Again from the start, on another endpoint if there is one. */
+  /** Start again from the beginning, preferably on another endpoint. */
   | 'restart'
-  /** Go on from the partial output on another endpoint. */
+  /** Resume from the partial output, preferably on another endpoint. */
   | 'resume'
   | 'give_up';
 
 export interface RetryRule {
   readonly action: RetryAction;
-  /** The answer when giving up, now or when attempts run out. */
+  /** The error returned when giving up, now or when attempts run out. */
   readonly error: ErrorKind;
 }
 
-/** The four cases in which one kind of failure can come. */
+/** The rules for one kind of failure, by what was sent and received. */
 interface RetryRow {
   readonly notSent: RetryRule;
   readonly nonIdempotent: RetryRule;
@@ -38,7 +38,7 @@
 const UNREACHABLE_RULE = createRule('restart', 'endpoint_unreachable');
 const UNKNOWN_OUTCOME_RULE = createRule('give_up', 'outcome_unknown');
 
-/** A request that may have been received and whose connection then broke. */
+/** Rules for failures in which the connection could not be made or broke. */
 const CONNECTION_BROKEN_ROW: RetryRow = {
   notSent: UNREACHABLE_RULE,
   nonIdempotent: UNKNOWN_OUTCOME_RULE,
@@ -56,8 +56,8 @@
     noOutput: createRule('restart', 'endpoint_silent'),
     partialOutput: createRule('resume', 'endpoint_silent'),
   },
-  // An endpoint's 503 may come from behind its own queue, after work began, so
-  // that a non-idempotent request isn't sent again even then.
+  // An endpoint may return 503 after it has started to process the request, so a
+  // non-idempotent request is not sent again.
   rejected: {
     notSent: createRule('restart', 'overloaded'),
     nonIdempotent: UNKNOWN_OUTCOME_RULE,
@@ -76,7 +76,7 @@
     noOutput: createRule('give_up', 'endpoint_failed'),
     partialOutput: createRule('give_up', 'endpoint_failed'),
   },
-  // Output over the staleness bound is of no use, nor is going on from it.
+  // Output older than the staleness bound can't be used or resumed from.
   stale: {
     notSent: createRule('restart', 'not_fresh_in_time'),
     nonIdempotent: UNKNOWN_OUTCOME_RULE,
@@ -85,7 +85,6 @@
   },
 };
 
-/** Looks up what follows. */
 export function findRetryRule(
   failure: FailureKind,
   idempotent: boolean,
@@ -98,19 +97,18 @@
   return tokensReceived > 0 ? row.partialOutput : row.noOutput;
 }
 
-/** Retries allowed at once after a quiet time; an engine's whole batch may fail. */
+/** Retries allowed in a burst; the complete batch of an engine may fail at once. */
 const RETRY_BURST = 200;
-/** Retries a second that time alone allows. */
+/** Retries per second allowed independently of starts. */
 const RETRIES_PER_SECOND = 5;
-/** Retries that each first attempt adds, so that retries stay a share of work. */
+/** Retries earned per started attempt, so that retries stay a share of the load. */
 const RETRIES_PER_START = 0.2;
 
 /**
- * Bounds retries to a share of the work, for each tenant and each endpoint.
- *
- * The failure guarded against is the retry storm: endpoints slow down, attempts
- * fail, each failure sends another and the load never falls again. With the
- * buckets the added load is at most a fifth of the first attempts.
+ * Limits retries to a share of the load, per tenant and per endpoint. This guards
+ * against retry storms: endpoints slow down, attempts fail, and retries keep the
+ * load high. The token buckets bound the retries, beyond a burst and a fixed rate,
+ * to a fifth of the attempts started.
  */
 export class RetryBudget {
   private readonly tenants = new Map<TenantId, TokenBucket>();
@@ -121,7 +119,10 @@
     getBucket(this.endpoints, endpoint).add(RETRIES_PER_START);
   }
 
-  /** Ms that a retry after a failure at `endpoint` has to wait; 0 takes it now. */
+  /**
+   * Takes one retry after a failure at `endpoint` from the budget and returns 0,
+   * or returns the ms to wait until one is available.
+   */
   takeRetry(tenant: TenantId, endpoint: EndpointId, nowMs: number): number {
     const tenantBucket = getBucket(this.tenants, tenant);
     const endpointBucket = getBucket(this.endpoints, endpoint);
@@ -135,7 +136,7 @@
     return 0;
   }
 
-  /** Forgets an endpoint that is gone. */
+  /** Drops the budget of an endpoint that was removed. */
   forgetEndpoint(endpoint: EndpointId): void {
     this.endpoints.delete(endpoint);
   }
--- a/packages/core/src/scheduling/run_cap.ts
+++ b/packages/core/src/scheduling/run_cap.ts
@@ -1,8 +1,8 @@
-/** Holds back works while as many of their kind run as may. */
+/** Limits how many work items with the same key run at once. */
 
 import type {WorkState} from './work_state.js';
 
-/** Counts running works by a key and keeps those that wait for one to end. */
+/** Counts running attempts by key and stores work items held by the limit. */
 export class RunCap {
   private readonly running = new Map<string, number>();
   private readonly waiting = new Map<string, WorkState[]>();
@@ -21,25 +21,25 @@
     else this.running.delete(key);
   }
 
-  /** Keeps a work; one that was begun before is the next to be released. */
+  /** Stores a work item; one that was started before is released first. */
   hold(key: string, work: WorkState): void {
-    const works = this.waiting.get(key);
-    if (!works) this.waiting.set(key, [work]);
-    else if (work.isStarted) works.unshift(work);
-    else works.push(work);
+    const queue = this.waiting.get(key);
+    if (!queue) this.waiting.set(key, [work]);
+    else if (work.isStarted) queue.unshift(work);
+    else queue.push(work);
   }
 
-  /** Takes out the next held work, if any. */
+  /** Removes and returns the next waiting work item, if any. */
   release(key: string): WorkState | undefined {
-    const works = this.waiting.get(key);
-    const next = works?.shift();
-    if (works?.length === 0) this.waiting.delete(key);
+    const queue = this.waiting.get(key);
+    const next = queue?.shift();
+    if (queue?.length === 0) this.waiting.delete(key);
     return next;
   }
 
   remove(key: string, work: WorkState): void {
-    const works = this.waiting.get(key)?.filter(other => other !== work);
-    if (!works || works.length === 0) this.waiting.delete(key);
-    else this.waiting.set(key, works);
+    const queue = this.waiting.get(key)?.filter(other => other !== work);
+    if (!queue || queue.length === 0) this.waiting.delete(key);
+    else this.waiting.set(key, queue);
   }
 }
--- a/packages/core/src/scheduling/scheduler.ts
+++ b/packages/core/src/scheduling/scheduler.ts
@@ -1,6 +1,7 @@
 /**
- * The contract of every scheduler: events in, actions out, no I/O and no clock
- * of its own. The daemon, tests and experiments drive the same class.
+ * The interface of all schedulers: they receive events and return actions, and
+ * do no I/O and read no clock. The daemon, tests and experiments drive the same
+ * implementations.
  */
 
 import type {EndpointInfo, LoadReport} from '@radishyoke/shared/endpoint';
@@ -13,47 +14,47 @@
 } from '@radishyoke/shared/ids';
 import type {AttemptOutcome} from './failure.js';
 
-/** Interactive requests go before rollouts and have a reserve. */
+/** Interactive requests are started before rollouts and have reserved capacity. */
 export type WorkClass = 'interactive' | 'rollout';
 
-/** One unit of work that wants an endpoint. */
+/** One unit of work to run on an endpoint. */
 export interface WorkItem {
-  /** Unique within this VM while the work lives. */
+  /** Unique within this VM until the work item ends. */
   readonly id: string;
   readonly tenant: TenantId;
   readonly workClass: WorkClass;
-  /** Endpoint group that the rule chose. */
+  /** Endpoint group chosen by the matching rule. */
   readonly group: string;
   readonly model?: string;
-  /** Higher goes first within tenant and class. */
+  /** Higher values go first within a tenant and work class. */
   readonly priority: number;
-  /** Unix ms after which the answer is worth nothing. */
+  /** Unix ms after which an answer has no value. */
   readonly deadlineAtMs: number;
   readonly promptTokens: number;
   /** Upper bound on the tokens to generate; 0 for plain requests. */
   readonly maxTokens: number;
-  /** Equal for works whose prompts share a prefix; empty for none. */
+  /** Equal for work items whose prompts share a prefix; empty for none. */
   readonly prefixKey: string;
-  /** Equal for the works of one step; empty for none. */
+  /** Equal for the work items of one step; empty for none. */
   readonly stepKey: string;
   /** Equal for the samples of one group; empty for none. */
   readonly groupKey: string;
-  /** Oldest weight version whose output is still of use; 0 for any. */
+  /** Oldest weight version whose output is accepted; 0 for any. */
   readonly minWeightVersion: number;
   readonly idempotent: boolean;
-  /** Most attempts, hedges included, that the rule allows. */
+  /** Maximum number of attempts, including hedges, that the rule allows. */
   readonly maxAttempts: number;
-  /** Digest of what the endpoint is asked to do; equal for a resent request. */
+  /** Digest of the request's content; equal for a request that is sent again. */
   readonly fingerprint: string;
-  /** Whether a late attempt may run beside the first; true when absent. */
+  /** Whether a second attempt may run concurrently; true when absent. */
   readonly hedge?: boolean;
-  /** Most works of the tenant that may wait in the group on this VM. */
+  /** Maximum number of the tenant's work items queued in the group on this VM. */
   readonly maxQueue?: number;
-  /** Most works of the tenant that may run at once from this VM. */
+  /** Maximum number of the tenant's work items that this VM runs at once. */
   readonly maxInFlight?: number;
 }
 
-/** A group of endpoints that a rule set defines by their ids. */
+/** An endpoint group that the rules define by endpoint ids. */
 export interface NamedGroup {
   readonly name: string;
   readonly endpoints: readonly EndpointId[];
@@ -61,12 +62,12 @@
 
 export type SchedulerEvent =
   | {readonly kind: 'endpoints'; readonly endpoints: readonly EndpointInfo[]}
-  /** Groups by endpoint id, besides those that the VM list's labels make. */
+  /** Groups by endpoint ids, in addition to those from the VM list's labels. */
   | {readonly kind: 'groups'; readonly groups: readonly NamedGroup[]}
-  /** Live VMs of the service, this one included. */
+  /** Live VMs of the service, including this one. */
   | {readonly kind: 'vms'; readonly vms: readonly VmId[]}
   | {readonly kind: 'load'; readonly report: LoadReport}
-  /** What another VM has in flight, by endpoint, from its digest. */
+  /** Requests another VM has in flight per endpoint, from its digest. */
   | {
       readonly kind: 'peer_load';
       readonly vm: VmId;
@@ -79,12 +80,13 @@
       readonly cached: boolean;
     }
   /**
-   * Another VM saw these requests run on an endpoint when it crashed; one event
-   * a crash. A single one is that VM's accused. News that come twice within
-   * seconds, by the log and from the peer, count once.
+   * Another VM reports the requests in flight on an endpoint when it crashed, one
+   * event per crash. A single fingerprint may be an isolated suspect.
+   * The same report received twice within 5 s, from the log and from the peer,
+   * counts once.
    */
   | {readonly kind: 'suspects'; readonly fingerprints: readonly string[]}
-  /** The trainer moved on: output older than this is of no use to the step. */
+  /** The step no longer accepts output of older weight versions than this. */
   | {
       readonly kind: 'min_version';
       readonly stepKey: string;
@@ -92,8 +94,8 @@
     }
   | {readonly kind: 'enqueue'; readonly work: WorkItem}
   /**
-   * Puts back work whose running attempt was started before a takeover, so
-   * that it is counted against the endpoint. No action starts it anew.
+   * Registers a work item whose running attempt was started before a takeover,
+   * so that it counts towards the endpoint's load. It is not started again.
    */
   | {
       readonly kind: 'adopt';
@@ -105,7 +107,7 @@
       readonly kind: 'progress';
       readonly workId: string;
       readonly attempt: number;
-      /** Tokens of the whole output so far, those resumed from included. */
+      /** Tokens of the output so far, including resumed ones. */
       readonly tokens: number;
       readonly weightVersion: number;
     }
@@ -116,44 +118,44 @@
       readonly outcome: AttemptOutcome;
     }
   | {readonly kind: 'cancel'; readonly workId: string}
-  /** Nothing happened; due timeouts are looked at. Sent every 100 ms or so. */
+  /** Handles due timeouts. Sent about every 100 ms. */
   | {readonly kind: 'tick'};
 
 export type SchedulerAction =
   | {
       readonly kind: 'start';
       readonly workId: string;
-      /** Counts from 1 within the work. */
+      /** Numbered from 1 within the work item. */
       readonly attempt: number;
       readonly endpoint: EndpointId;
-      /** Tokens of an earlier attempt to go on from; 0 starts anew. */
+      /** Tokens of the earlier attempt to resume from; 0 for none. */
       readonly resumeTokens: number;
-      /** The earlier attempt whose output is gone on from, when resuming. */
+      /** The earlier attempt to resume from; 0 for none. */
       readonly resumeAttempt: number;
     }
-  /** Cancel this attempt at its endpoint; its `ended` is not awaited. */
+  /** Cancels this attempt at its endpoint; no `ended` event is needed for it. */
   | {
       readonly kind: 'stop';
       readonly workId: string;
       readonly attempt: number;
       readonly endpoint: EndpointId;
     }
-  /** The work is done: this attempt's output is the result. */
+  /** The work item is done: this attempt's output is the result. */
   | {readonly kind: 'done'; readonly workId: string; readonly attempt: number}
-  /** The work is given up on. */
+  /** The work item has failed. */
   | {
       readonly kind: 'give_up';
       readonly workId: string;
       readonly error: RadishyokeError;
     }
-  /** Tell the other VMs: these ran on an endpoint when it crashed. */
+  /** Reports a crash and the requests in flight there to the other VMs. */
   | {
       readonly kind: 'report_crash';
       readonly endpoint: EndpointId;
       readonly fingerprints: readonly string[];
     };
 
-/** Figures of one endpoint as the scheduler sees it, for status pages. */
+/** The scheduler's view of one endpoint, for status pages. */
 export interface EndpointStatus {
   readonly id: EndpointId;
   readonly group: string;
@@ -163,21 +165,21 @@
   readonly weightVersion: number;
 }
 
-/** What stays the same for a scheduler's life. */
+/** Settings that are constant for the lifetime of a scheduler. */
 export interface SchedulerConfig {
   readonly vm: VmId;
   readonly dataCentre: DataCentreId;
 }
 
-/** Decides where and when work runs. One instance a VM. */
+/** Decides where and when work items run. Each VM has one instance. */
 export abstract class Scheduler {
-  /** Takes one event at `nowMs` (Unix ms) and returns what is to be done, in order. */
+  /** Handles one event at `nowMs` (Unix ms); returns the actions in order. */
   abstract handle(
     event: SchedulerEvent,
     nowMs: number,
   ): readonly SchedulerAction[];
 
-  /** Works queued or running. */
+  /** Returns the number of work items that have not ended. */
   abstract countWorkItems(): number;
 
   abstract listEndpoints(): readonly EndpointStatus[];
--- a/packages/core/src/scheduling/scheduler_state.ts
+++ b/packages/core/src/scheduling/scheduler_state.ts
@@ -1,6 +1,6 @@
 /**
- * What the parts of the scheduler share while one event is handled: the works,
- * the endpoints, what is known of both, and the actions decided so far.
+ * State shared by the parts of the scheduler: work items, endpoints, estimates
+ * about both, and the actions emitted while the current event is handled.
  */
 
 import type {SchedulerAction, SchedulerConfig, WorkItem} from './scheduler.js';
@@ -26,7 +26,7 @@
   readonly stragglers = new StragglerPolicy();
   readonly lengths = new LengthEstimate();
   readonly pace: StepPace;
-  /** Unix ms of the event that is handled. */
+  /** Time of the current event, Unix ms. */
   nowMs = 0;
   private readonly dirty = new Set<EndpointGroup>();
   private actions: SchedulerAction[] = [];
@@ -40,7 +40,7 @@
     this.pace = new StepPace(this.lengths, options.pacing);
   }
 
-  /** Begins an event: what was decided for the one before has been taken. */
+  /** Sets the time of a new event and clears the actions of the previous one. */
   beginEvent(nowMs: number): void {
     this.nowMs = nowMs;
     this.actions = [];
@@ -54,7 +54,7 @@
     return this.actions;
   }
 
-  /** Asks for the group to be looked through at the end of this event. */
+  /** Marks the group for dispatching at the end of the current event. */
   markDirty(group: EndpointGroup): void {
     this.dirty.add(group);
   }
@@ -63,13 +63,13 @@
     for (const group of this.directory.groups.values()) this.dirty.add(group);
   }
 
-  /** Goes through the groups in which something may start now, each once. */
+  /** Calls `visit` once for each group marked since the last call. */
   visitDirtyGroups(visit: (group: EndpointGroup) => void): void {
     for (const group of this.dirty) visit(group);
     this.dirty.clear();
   }
 
-  /** To be called after the room or the health of an endpoint changed. */
+  /** Must be called after the room or the health of an endpoint has changed. */
   onEndpointChanged(endpoint: EndpointState | undefined): void {
     if (!endpoint) return;
     endpoint.markAllowanceStale();
@@ -83,19 +83,19 @@
     return this.directory.getGroup(work.item.group);
   }
 
-  /** Tokens that the whole output will have, `tokens` of it being there. */
+  /** Estimates the total output tokens, of which `tokens` exist already. */
   estimateLength(item: WorkItem, tokens: number): number {
     if (!this.options.longestFirst) return item.maxTokens;
     return this.lengths.estimate(item.groupKey, item.maxTokens, tokens);
   }
 
-  /** Oldest version of the weights that the work's output may come from now. */
+  /** Returns the oldest weight version that the work item currently accepts. */
   findMinVersion(work: WorkState): number {
     const {stepKey, minWeightVersion} = work.item;
     return this.stalenessBounds.findMinVersion(stepKey, minWeightVersion);
   }
 
-  /** The bound holds against what the trainer has at this very moment. */
+  /** Whether the attempt's output is older than its current staleness bound. */
   isStale(attempt: Attempt): boolean {
     return attempt.oldestVersion < this.findMinVersion(attempt.work);
   }
--- a/packages/core/src/scheduling/speed_model.ts
+++ b/packages/core/src/scheduling/speed_model.ts
@@ -1,20 +1,23 @@
 /**
- * How long an engine takes for one token of one stream, by the number of
- * streams that it runs: a part for the pass over the weights and a part for each
- * stream. Learned for a group as a whole, with a factor for each endpoint.
+ * Predicts the time per token of one stream from the number of streams that an
+ * engine runs: a constant part for reading the weights plus a part per stream.
+ * It is fitted per endpoint group; each endpoint adds its own slowness factor.
  */
 
-/** What is believed at first, in ms, and how many observations that is worth. */
+/**
+ * Initial base and slope in ms, and the weight of each initial point in
+ * observations.
+ */
 const PRIOR_BASE_MS = 10;
 const PRIOR_SLOPE_MS = 0.3;
 const PRIOR_WEIGHT = 5;
-/** Streams at which the prior is taken as observed, to hold the line. */
+/** Stream counts of the initial points; two points define the slope. */
 const PRIOR_STREAMS = [1, 32] as const;
-/** Part of older observations that each new one leaves. */
+/** Factor by which each observation reduces the weight of earlier ones. */
 const DECAY = 0.999;
 const MIN_BASE_MS = 0.01;
 
-/** One line fitted by least squares whose older points fade. */
+/** A line fitted by least squares with exponentially decaying weights. */
 export class SpeedModel {
   private weight = 0;
   private sumStreams = 0;
@@ -38,7 +41,10 @@
     this.add(streams, tokenMs, 1);
   }
 
-  /** Expected ms for one token where `streams` run, on an ordinary endpoint. */
+  /**
+   * Returns the expected ms per token on an ordinary endpoint that runs
+   * `streams` streams.
+   */
   predictMs(streams: number): number {
     const spread = this.weight * this.sumStreamsSquared - this.sumStreams ** 2;
     const covariance =
--- a/packages/core/src/scheduling/staleness_bounds.ts
+++ b/packages/core/src/scheduling/staleness_bounds.ts
@@ -1,12 +1,12 @@
-/** The staleness bound of steps: which weight versions are still of use to one. */
+/** Staleness bounds: the oldest weight version that each step still accepts. */
 
-/** Steps kept after their last news. */
+/** Maximum number of steps stored; the least recently raised are dropped. */
 const MAX_STEPS = 10_000;
 
 export class StalenessBounds {
   private readonly minVersions = new Map<string, number>();
 
-  /** The trainer moved on. Returns whether the step's bound rose. */
+  /** Raises the step's bound to `minVersion`; returns whether it increased. */
   raise(stepKey: string, minVersion: number): boolean {
     const previous = this.minVersions.get(stepKey);
     if (previous !== undefined && minVersion <= previous) return false;
@@ -18,7 +18,7 @@
     return true;
   }
 
-  /** The oldest version of use to a work of the step now. */
+  /** Returns the oldest version that a work item of the step currently accepts. */
   findMinVersion(stepKey: string, itemMin: number): number {
     const stepMin = stepKey === '' ? undefined : this.minVersions.get(stepKey);
     return stepMin === undefined ? itemMin : Math.max(stepMin, itemMin);
--- a/packages/core/src/scheduling/step_pace.ts
+++ b/packages/core/src/scheduling/step_pace.ts
@@ -1,6 +1,6 @@
 /**
- * How many samples of each step run at once, and what its finished samples tell
- * of lengths.
+ * Tracks the work items of each open step, computes how many of its samples may
+ * run at once and reports the length of its longest sample.
  */
 
 import {computeBatchTarget} from './batch_target.js';
@@ -47,7 +47,7 @@
     this.steps.delete(stepKey);
   }
 
-  /** Whether works of the step are queued or running. */
+  /** Whether the step has work items that have not ended. */
   isOpen(stepKey: string): boolean {
     return this.steps.has(stepKey);
   }
@@ -60,12 +60,12 @@
     return [...this.steps.keys()];
   }
 
-  /** Most samples of the step that may run at once now. */
+  /** Returns how many samples of the step may currently run at once. */
   targetOf(stepKey: string): number {
     return this.steps.get(stepKey)?.target ?? Infinity;
   }
 
-  /** Works out the targets anew; `endpoints` is how many can be used. */
+  /** Recomputes the step's target for a number of usable endpoints. */
   updateTarget(stepKey: string, endpoints: number): void {
     const step = this.steps.get(stepKey);
     if (!step || !this.isEnabled) return;
--- a/packages/core/src/scheduling/straggler.ts
+++ b/packages/core/src/scheduling/straggler.ts
@@ -1,29 +1,29 @@
 /**
- * Finds attempts that hold up their step and would be complete much earlier
- * elsewhere. A step is as late as its last sample.
+ * Decides whether an attempt that delays its step should move to a faster
+ * endpoint. A step completes only with its last sample.
  */
 
 import type {TenantId} from '@radishyoke/shared/ids';
 import {TokenBucket} from './token_bucket.js';
 import type {Attempt} from './work_state.js';
 
-/** What to do about one attempt. */
+/** What to do with one attempt. */
 export type StragglerAction =
   | 'leave'
-  /** Stop it and go on from its output elsewhere. */
+  /** Stop it and resume from its output on another endpoint. */
   | 'move'
-  /** Go on from its output elsewhere as well, and take what ends first. */
+  /** Also resume from its output on another endpoint, and use the first result. */
   | 'hedge';
 
-/** An attempt that has shown nothing for this long may never again. */
+/** Time without progress after which an attempt is hedged. */
 const STALLED_BEFORE_HEDGE_MS = 1500;
-/** How many times faster the other endpoint has to be. */
+/** Minimum ratio of the expected time without a move to that with one. */
 const MIN_SPEEDUP = 1.5;
 const MIN_SAVED_MS = 2000;
-/** Second attempts for the tail, as a share of all starts. */
+/** Moves and hedges earned per work item started. */
 const BUDGET_PER_START = 0.05;
 const BUDGET_BURST = 16;
-/** What time alone adds, so that a long tail isn't left alone. */
+/** Moves and hedges earned per second, so that a long tail can use some. */
 const BUDGET_PER_SECOND = 0.5;
 
 export class StragglerPolicy {
@@ -33,7 +33,7 @@
     this.getBudget(tenant).add(BUDGET_PER_START);
   }
 
-  /** Whether the tenant's budget allows one more second attempt; takes it. */
+  /** Takes one move or hedge from the tenant's budget if there is one. */
   takeBudget(tenant: TenantId, nowMs: number): boolean {
     return this.getBudget(tenant).take(nowMs);
   }
@@ -48,15 +48,17 @@
   }
 }
 
-/** Expected ms for one token where the attempt is and where it could go. */
+/** Expected times of an attempt on its current and on the target endpoint. */
 export interface StragglerTimes {
+  /** Ms per token on the current endpoint. */
   readonly currentMs: number;
+  /** Ms per token on the target endpoint. */
   readonly targetMs: number;
-  /** What it costs to go on there: reading prompt and output again. */
+  /** Ms to prefill the prompt and the output so far on the target endpoint. */
   readonly resumeMs: number;
 }
 
-/** Compares staying with going on elsewhere. */
+/** Compares the expected time of staying with that of moving. */
 export function decideStragglerAction(
   attempt: Attempt,
   remainingTokens: number,
--- a/packages/core/src/scheduling/straggler_scan.ts
+++ b/packages/core/src/scheduling/straggler_scan.ts
@@ -1,4 +1,4 @@
-/** Once nothing waits in a group, helps the attempts that hold up their steps. */
+/** Moves or hedges stragglers of groups in which no rollouts are queued. */
 
 import type {AttemptTable} from './attempt_table.js';
 import type {EndpointGroup} from './endpoint_directory.js';
@@ -10,9 +10,9 @@
 import type {WorkCompletion} from './work_completion.js';
 import type {Attempt} from './work_state.js';
 
-/** Time that an engine is assumed to take to read one token again, ms. */
+/** Assumed time for an engine to prefill one token when an attempt resumes, ms. */
 const PREFILL_MS_PER_TOKEN = 0.1;
-/** Tokens a second assumed of a stream before any was measured. */
+/** Assumed tokens per second of a stream before any measurement. */
 const DEFAULT_STREAM_SPEED = 50;
 
 export class StragglerScan {
@@ -36,7 +36,7 @@
     const {work} = attempt;
     const {item} = work;
     const isOnlyAttempt = work.running.length === 1;
-    // One attempt is left for failures.
+    // Leaves one attempt for a retry after a failure.
     const hasSpareAttempts =
       this.completion.countChargedAttempts(work) + 2 < item.maxAttempts;
     if (!isOnlyAttempt || !hasSpareAttempts || !item.idempotent) return false;
@@ -78,7 +78,7 @@
     return options.hedging && attempt.work.item.hedge !== false;
   }
 
-  /** Ms for one token where the attempt runs now. */
+  /** Returns the expected ms per token on the attempt's current endpoint. */
   private estimateCurrentTokenMs(
     group: EndpointGroup,
     attempt: Attempt,
--- a/packages/core/src/scheduling/suspect_list.ts
+++ b/packages/core/src/scheduling/suspect_list.ts
@@ -1,27 +1,36 @@
 /**
- * Finds the requests that crash the endpoints that run them, without blaming
- * those that merely ran beside them.
+ * Identifies requests that crash endpoints, as distinct from requests that were
+ * only in flight on an endpoint when it crashed.
  */
 
-/** How much a request is under suspicion. */
+/** Level of suspicion against a request. */
 export type Suspicion =
-  /** Was beside at most one crash. */
+  /** In flight at no more than one crash. */
   | 'none'
-  /** Was beside two crashes: runs only with no other suspect on its endpoint. */
+  /** In flight at two or more crashes: runs as the only suspect on an endpoint. */
   | 'suspect'
-  /** Crashed two endpoints that it had to itself as the newcomer: refused. */
+  /** In flight at enough crashes, isolated or not, to be refused. */
   | 'convicted';
 
-/** Crashes after which a request is under suspicion. */
+/** Crashes after which a request is suspected. */
 const CRASHES_TO_SUSPECT = 2;
-/** Crashes as an accused; one may be another VM's doing. */
+/**
+ * Crashes as an isolated suspect that convict; another VM's request may cause
+ * one.
+ */
 const ISOLATED_CRASHES_TO_CONVICT = 2;
-/** Crashes that no bystander is likely to have been beside. */
+/**
+ * Crashes of any kind that convict; an innocent request is unlikely to be in
+ * flight at so many.
+ */
 const CRASHES_TO_CONVICT = 5;
-/** A fingerprint is forgotten after this long without a crash. */
+/** Time without a crash after which a fingerprint is dropped. */
 const FORGET_AFTER_MS = 30 * 60_000;
 const MAX_FINGERPRINTS = 10_000;
-/** The same news from the log and from a peer come within this time. */
+/**
+ * Time within which an identical report is a duplicate, as reports arrive from
+ * the log and from a peer.
+ */
 const DUPLICATE_REPORT_MS = 5000;
 const MAX_REPORTS = 1000;
 
@@ -33,20 +42,20 @@
 }
 
 /**
- * A request that crashes endpoints is sent again by its caller or by retries
- * and takes down one endpoint after the other; it shows as crashes that follow
- * one fingerprint. Two crashes put a fingerprint under suspicion. A suspect is
- * then the only newcomer from this VM at its endpoint for a while; a crash in
- * that time accuses it, and those beside it, who had been running there, are not
- * blamed. Two accusations convict: one may be due to another VM's newcomer.
+ * Counts crashes by request fingerprint, as a request that crashes endpoints is
+ * repeated by its caller or by retries and crashes one endpoint after another.
+ * Two crashes make a fingerprint suspected. A suspect is then isolated: this VM
+ * sends nothing else to its endpoint for a while. A crash in that time counts
+ * against the suspect alone, not against requests that were already running
+ * there. Two such crashes convict it: one may be caused by another VM's request.
  */
 export class SuspectList {
   private readonly histories = new Map<string, CrashHistory>();
   private readonly reported = new Map<string, number>();
 
   /**
-   * Notes a crash here and what ran on the endpoint then. `accused` is the
-   * suspect that was the only newcomer there, if there was one.
+   * Records a crash and the requests in flight on the endpoint. If `isolated`, an
+   * isolated suspect, was among them, the crash counts against it alone.
    */
   recordCrash(
     fingerprints: readonly string[],
@@ -60,7 +69,10 @@
     this.prune(nowMs);
   }
 
-  /** Notes what another VM tells of a crash: the accused alone, or all. */
+  /**
+   * Records a crash reported by another VM: its isolated suspect alone, or all
+   * requests in flight.
+   */
   recordReportedCrash(fingerprints: readonly string[], nowMs: number): void {
     const key = [...fingerprints].sort().join();
     const isDuplicate =
@@ -77,7 +89,10 @@
     this.recordCrash(fingerprints, nowMs, isIsolated ? first : undefined);
   }
 
-  /** A request that ran to its end is not what crashes endpoints. */
+  /**
+   * Clears the history of a request that finished, as it can't be the one that
+   * crashes endpoints.
+   */
   recordFinished(fingerprint: string): void {
     if (this.histories.size > 0) this.histories.delete(fingerprint);
   }
@@ -104,8 +119,8 @@
     this.histories.delete(fingerprint);
     this.histories.set(fingerprint, {
       crashes,
-      isolatedCrashes: isolatedCrashes,
-      isConvicted: isConvicted,
+      isolatedCrashes,
+      isConvicted,
       lastCrashAtMs: nowMs,
     });
   }
--- a/packages/core/src/scheduling/token_bucket.ts
+++ b/packages/core/src/scheduling/token_bucket.ts
@@ -1,4 +1,4 @@
-/** A token bucket on a clock that comes in as an argument. */
+/** A token bucket; the current time is passed as an argument. */
 
 export class TokenBucket {
   private tokens: number;
@@ -12,7 +12,7 @@
     this.tokens = capacity;
   }
 
-  /** Takes `count` tokens if they are there. */
+  /** Takes `count` tokens if available; returns whether it did. */
   take(nowMs: number, count = 1): boolean {
     this.refill(nowMs);
     if (this.tokens < count) return false;
@@ -20,12 +20,12 @@
     return true;
   }
 
-  /** Adds tokens besides those that time brings. */
+  /** Adds tokens, up to the capacity. */
   add(count: number): void {
     this.tokens = Math.min(this.capacity, this.tokens + count);
   }
 
-  /** Ms until `count` tokens are there by time alone. */
+  /** Returns the ms until refilling over time provides `count` tokens. */
   measureWaitMs(nowMs: number, count = 1): number {
     this.refill(nowMs);
     const missing = count - this.tokens;
--- a/packages/core/src/scheduling/work_completion.ts
+++ b/packages/core/src/scheduling/work_completion.ts
@@ -1,6 +1,6 @@
 /**
- * How works end: by an attempt that finished, by a failure that is retried or
- * told, by their deadline, or by a trainer that has moved on.
+ * Ends attempts and work items: handles finished and failed attempts, decides
+ * between retry and failure, and enforces deadlines and staleness bounds.
  */
 
 import {
@@ -19,13 +19,13 @@
 import type {Attempt, WorkState} from './work_state.js';
 import {WorkTimers} from './work_timers.js';
 
-/** Wait before work that an endpoint rejected is sent elsewhere, ms. */
+/** Delay in ms before a work item that an endpoint rejected is retried. */
 const REJECTED_RETRY_DELAY_MS = 100;
 
-/** An attempt that brought nothing whole. */
+/** The end of an attempt without a complete result. */
 interface FailedAttempt {
   readonly failure: FailureKind;
-  /** Whether a byte of it may have reached the endpoint. */
+  /** Whether any byte of the request may have reached the endpoint. */
   readonly sent: boolean;
   readonly tokensReceived: number;
 }
@@ -42,7 +42,7 @@
     this.crashes = new CrashTracker(state.suspects);
   }
 
-  /** Gives the work up at its deadline, if it is still there. */
+  /** Schedules giving up the work item at its deadline. */
   watchDeadline(work: WorkState): void {
     this.deadlines.add(work, work.deadlineAtMs);
   }
@@ -77,7 +77,7 @@
     this.state.emit({kind: 'give_up', workId: work.item.id, error});
   }
 
-  /** Ends a work that has crashed endpoints often enough to be blamed for it. */
+  /** Gives up a work item whose request is convicted of crashing endpoints. */
   giveUpSuspect(work: WorkState): void {
     this.giveUp(
       work,
@@ -85,7 +85,7 @@
     );
   }
 
-  /** An answer that comes after its deadline is worth nothing: it is given now. */
+  /** Gives up work items past their deadline; later answers have no value. */
   expireDue(): void {
     for (const work of this.deadlines.takeDue(this.state.nowMs)) {
       if (work.phase === 'over') continue;
@@ -97,7 +97,10 @@
     }
   }
 
-  /** The trainer of a step has moved on: output that is too old now is redone. */
+  /**
+   * Raises a step's staleness bound, drops partial output that is now too old
+   * and restarts stale attempts.
+   */
   raiseMinVersion(stepKey: string, minVersion: number): void {
     if (!this.state.stalenessBounds.raise(stepKey, minVersion)) return;
     for (const work of this.state.pace.listWorkItems(stepKey)) {
@@ -109,9 +112,10 @@
   }
 
   /**
-   * Attempts that count against the most. An endpoint that is down turns away
-   * one after the other; a rollout that never reached it has lost nothing and
-   * waits on, bounded by its deadline.
+   * Returns the attempts that count towards the maximum. With `forgiveUnsent`,
+   * attempts of a rollout that never reached an endpoint are not counted: an
+   * unreachable endpoint would use them all up, and the deadline still bounds
+   * the waiting.
    */
   countChargedAttempts(work: WorkState): number {
     const ignoresUnsent =
@@ -119,7 +123,7 @@
     return ignoresUnsent ? work.sentAttempts : work.attempts;
   }
 
-  /** Keeps the longest output that is still of use. */
+  /** Saves the attempt's output for resuming if it is fresh and the longest. */
   savePartial(attempt: Attempt, failure: FailureKind): void {
     const {work, tokens, oldestVersion, number} = attempt;
     if (failure === 'stale' || tokens === 0 || this.state.isStale(attempt)) {
@@ -204,8 +208,8 @@
     }
     const budgetMs = retries.takeRetry(work.tenant, endpoint.id, nowMs);
     const isInteractive = work.item.workClass === 'interactive';
-    // An interactive caller is told at once rather than kept waiting for
-    // retries that others have used up.
+    // Interactive requests fail at once instead of waiting for the retry budget
+    // that other requests have used up.
     if (budgetMs > 0 && isInteractive) return this.giveUp(work, error);
     work.lastError = error;
     work.lastEndpoint = endpoint.id;
@@ -213,7 +217,10 @@
     this.queues.delay(work, Math.max(budgetMs, waitMs));
   }
 
-  /** What is already over the bound never gets back under it. */
+  /**
+   * Stops and retries an attempt whose output is older than the bound, as it
+   * can not become fresh again.
+   */
   private restartStale(attempt: Attempt): void {
     const {work, endpoint} = attempt;
     if (attempt.oldestVersion === Infinity) return;
@@ -239,7 +246,7 @@
   });
 }
 
-/** Whether the work can have run: only ever `no` when nothing was sent. */
+/** Returns `ran: 'no'` only if nothing of the request was sent. */
 function getRanField(work: WorkState): Pick<RadishyokeError, 'ran'> {
   return work.sentAttempts === 0 ? {ran: 'no'} : {};
 }
--- a/packages/core/src/scheduling/work_dispatcher.ts
+++ b/packages/core/src/scheduling/work_dispatcher.ts
@@ -1,4 +1,7 @@
-/** Starts what waits in a group, in the order of its queues, where it ends soonest. */
+/**
+ * Starts a group's waiting work items in queue order, each on the endpoint with
+ * the earliest expected completion.
+ */
 
 import type {EndpointId} from '@radishyoke/shared/ids';
 import type {AttemptTable} from './attempt_table.js';
@@ -19,14 +22,17 @@
     private readonly completion: WorkCompletion,
   ) {}
 
-  /** Starts what has room now. */
+  /** Starts all work items for which endpoints of the group have room. */
   dispatch(group: EndpointGroup): void {
     this.dispatchQuarantined(group);
     this.dispatchClass(group, 'interactive');
     if (!group.isGathering) this.dispatchClass(group, 'rollout');
   }
 
-  /** The endpoint at which the work ends soonest, other than `avoid` if it can. */
+  /**
+   * Returns the endpoint with the earliest expected completion, preferring any
+   * other than `avoid`.
+   */
   chooseEndpoint(
     group: EndpointGroup,
     work: WorkState,
@@ -73,8 +79,8 @@
         continue;
       }
       if (!this.mayLackEligibleEndpoint(work)) break;
-      // The endpoints with room have older weights than this work needs, or
-      // another model; others behind it may be content with them.
+      // The endpoints with room have older weights or another model than this
+      // work item needs. Park it so that it doesn't block those queued after it.
       queue.pop();
       this.queues.park(group, work);
     }
@@ -85,15 +91,19 @@
     );
   }
 
-  /** Whether some endpoints may not do for the work. */
+  /**
+   * Whether the work item requires a model or a minimum weight version that
+   * endpoints with room may lack.
+   */
   private mayLackEligibleEndpoint(work: WorkState): boolean {
     if (work.item.model !== undefined) return true;
     return this.state.findMinVersion(work) > 0;
   }
 
   /**
-   * Runs suspects with at most one on an endpoint, which gets nothing else until
-   * the suspect shows output, so that a crash there has only one suspect.
+   * Runs at most one suspect per endpoint and sends nothing else there until the
+   * suspect shows output some time after its start, so that a crash before that
+   * can be attributed to it.
    */
   private dispatchQuarantined(group: EndpointGroup): void {
     const waiting = group.quarantined;
--- a/packages/core/src/scheduling/work_queues.ts
+++ b/packages/core/src/scheduling/work_queues.ts
@@ -1,6 +1,6 @@
 /**
- * Where works wait: in the queue of their group, under suspicion, for weights,
- * for a retry, or until fewer of their tenant or step run.
+ * Tracks where each waiting work item is: in its group's queue, quarantined,
+ * parked for weights, delayed for a retry, or held by a cap of its tenant or step.
  */
 
 import type {EndpointGroup} from './endpoint_directory.js';
@@ -9,7 +9,10 @@
 import type {WorkState} from './work_state.js';
 import {WorkTimers} from './work_timers.js';
 
-/** Parked works that may try again at one scan; a large step waits for weights as a whole. */
+/**
+ * Parked work items of a group that are queued again per scan; a large step may
+ * be parked as a whole.
+ */
 const MAX_UNPARKED_PER_SCAN = 200;
 
 export class WorkQueues {
@@ -35,7 +38,10 @@
     this.state.markDirty(group);
   }
 
-  /** Holds a work back if enough of its tenant or its step run. */
+  /**
+   * Holds the work item and returns true if its tenant's or step's cap is
+   * reached.
+   */
   holdIfCapped(work: WorkState): boolean {
     const {maxInFlight, stepKey} = work.item;
     const tenantRunning = this.tenantCap.countRunning(work.tenant);
@@ -50,13 +56,13 @@
     return true;
   }
 
-  /** No endpoint with room has the weights that the work needs. */
+  /** Parks a work item that no endpoint with room can serve. */
   park(group: EndpointGroup, work: WorkState): void {
     work.phase = 'parked';
     group.parked.push(work);
   }
 
-  /** Queues the work after `waitMs`, or at once for 0. */
+  /** Queues the work item after `waitMs`, or immediately if it is 0. */
   delay(work: WorkState, waitMs: number): void {
     if (waitMs <= 0) return this.enqueue(work);
     work.phase = 'delayed';
@@ -64,7 +70,7 @@
     this.delayed.add(work, work.notBeforeMs);
   }
 
-  /** Takes the work out of where it waits, if it does. */
+  /** Removes the work item from wherever it waits. */
   remove(work: WorkState): void {
     const group = this.state.groupOf(work);
     switch (work.phase) {
@@ -88,14 +94,17 @@
     }
   }
 
-  /** Counts an attempt of the work as running. */
+  /** Counts an attempt of the work item as running. */
   recordStart(work: WorkState): void {
     const {stepKey} = work.item;
     this.tenantCap.recordStart(work.tenant);
     if (stepKey !== '') this.stepCap.recordStart(stepKey);
   }
 
-  /** Counts one fewer and queues what was held back for it. */
+  /**
+   * Counts an attempt as ended and queues the next work item that its tenant's
+   * and its step's cap held.
+   */
   recordEnd(work: WorkState): void {
     const {tenant, stepKey} = work.item;
     this.tenantCap.recordEnd(tenant);
@@ -116,7 +125,7 @@
     }
   }
 
-  /** Lets parked works try again, a few at a time. */
+  /** Queues parked work items whose minimum weight version the group now has. */
   releaseParked(group: EndpointGroup): void {
     if (group.parked.length === 0) return;
     let room = MAX_UNPARKED_PER_SCAN;
@@ -133,7 +142,7 @@
     }
   }
 
-  /** Works out how many samples of each step may run, and queues these. */
+  /** Updates the target of each step and queues held samples that now fit. */
   updateStepTargets(): void {
     const {pace} = this.state;
     for (const stepKey of pace.stepKeys) {
--- a/packages/core/src/scheduling/work_state.ts
+++ b/packages/core/src/scheduling/work_state.ts
@@ -1,4 +1,4 @@
-/** What the scheduler keeps of one work and its attempts. */
+/** The scheduler's state of one work item and its attempts. */
 
 import type {RadishyokeError} from '@radishyoke/shared/error_kind';
 import type {EndpointId, TenantId} from '@radishyoke/shared/ids';
@@ -6,60 +6,63 @@
 import type {QueueEntry} from './fair_queue.js';
 import type {WorkItem} from './scheduler.js';
 
-/** One run of a work on an endpoint. */
+/** One execution of a work item on an endpoint. */
 export interface Attempt {
   readonly work: WorkState;
   readonly number: number;
   readonly endpoint: EndpointState;
   readonly startedAtMs: number;
-  /** Tokens of earlier attempts that this one goes on from. */
+  /** Tokens of earlier attempts that this attempt resumes from. */
   readonly resumedTokens: number;
-  /** Tokens of the whole output so far, the resumed ones included. */
+  /** Tokens of the output so far, including resumed ones. */
   tokens: number;
   progressAtMs: number;
-  /** Oldest version in the output, resumed parts included; Infinity for none. */
+  /**
+   * Oldest weight version in the output, including its resumed part; Infinity
+   * while there is none.
+   */
   oldestVersion: number;
   /** Whether a crash of the endpoint has been counted for this attempt. */
   isCrashCounted: boolean;
-  /** Whether its prompt still counts as pending at the endpoint. */
+  /** Whether its prompt tokens still count as pending at the endpoint. */
   isPromptPending: boolean;
 }
 
-/** Output of an attempt that ended early, to go on from. */
+/** Output of an attempt that ended early, from which a later one can resume. */
 export interface PartialOutput {
   readonly attempt: number;
   readonly tokens: number;
   readonly oldestVersion: number;
 }
 
-/** Where a work stands. */
+/** Current phase of a work item. */
 export type WorkPhase =
   | 'queued'
-  /** No endpoint has the weights it needs. */
+  /** No endpoint with room has the weights or model that it needs. */
   | 'parked'
-  /** As many of its tenant run as its rule allows. */
+  /** Its tenant runs as many work items as its rule allows. */
   | 'held_by_tenant'
-  /** As many of its step run as are to its good. */
+  /** Its step runs as many samples as its target allows. */
   | 'held_by_step'
-  /** Under suspicion: waits to run with no other suspect. */
+  /** Suspected of crashes: waits for an endpoint without another suspect. */
   | 'quarantined'
-  /** Waits for its retry. */
+  /** Waits for the delay before its retry. */
   | 'delayed'
   | 'running'
   | 'over';
 
 export class WorkState implements QueueEntry {
   phase: WorkPhase = 'queued';
-  /** Attempts numbered so far. */
+  /** Number of the latest attempt. */
   attempts = 0;
   /** Attempts of which a byte may have reached an endpoint. */
   sentAttempts = 0;
   running: Attempt[] = [];
   partial?: PartialOutput;
-  /** The failure that a retry follows, for the answer if no retry comes. */
+  /** Error of the latest failed attempt that was to be retried. */
   lastError?: RadishyokeError;
   notBeforeMs = 0;
-  /** Where it failed last; a retry goes elsewhere if it can. */
+  /** Endpoint of the last failure; a retry prefers another one. */
   lastEndpoint?: EndpointId;
   expectedTokens: number;
   cost: number;
@@ -72,7 +75,7 @@
     this.cost = measureCost(item, expectedTokens);
   }
 
-  /** Tokens of its output so far, by the attempt that is furthest. */
+  /** Tokens of the longest output that any attempt has produced so far. */
   get tokens(): number {
     let maxTokens = this.partial?.tokens ?? 0;
     for (const attempt of this.running) {
@@ -97,7 +100,10 @@
     return this.attempts > 0;
   }
 
-  /** Sets what is left to generate, which orders the queue. */
+  /**
+   * Sets the expected output length and derives the cost that orders the queue
+   * from what remains.
+   */
   setExpectedTokens(expectedTokens: number): void {
     this.expectedTokens = expectedTokens;
     const remaining = Math.max(1, expectedTokens - (this.partial?.tokens ?? 0));
@@ -105,7 +111,10 @@
   }
 }
 
-/** Prompt tokens are read many at a time, so they weigh less than generated ones. */
+/**
+ * Cost of a prompt token relative to a generated one; engines prefill many
+ * prompt tokens at once.
+ */
 const PROMPT_TOKEN_COST = 0.05;
 
 function measureCost(item: WorkItem, tokens: number): number {
--- a/packages/core/src/scheduling/work_timers.ts
+++ b/packages/core/src/scheduling/work_timers.ts
@@ -1,9 +1,9 @@
-/** Works by the time at which something is due for them. */
+/** Timers of work items, ordered by due time. */
 
 import {BinaryHeap} from './binary_heap.js';
 import type {WorkState} from './work_state.js';
 
-/** Timers kept before those of ended works are looked for. */
+/** Number of timers below which those of ended work items are not pruned. */
 const MIN_PRUNED_TIMERS = 1000;
 
 interface WorkTimer {
@@ -22,7 +22,7 @@
     if (this.timers.size >= this.pruneAt) this.prune();
   }
 
-  /** Takes out what is due; among it may be works that have ended. */
+  /** Removes due timers and returns their work items; some may have ended. */
   takeDue(nowMs: number): readonly WorkState[] {
     const due: WorkState[] = [];
     while (this.timers.size > 0 && this.timers.peek()!.atMs <= nowMs) {
@@ -31,7 +31,7 @@
     return due;
   }
 
-  /** Works end long before their deadlines, and their timers stay behind. */
+  /** Removes timers of ended work items, as most end long before their deadline. */
   private prune(): void {
     this.timers.retain(timer => timer.work.phase !== 'over');
     this.pruneAt = Math.max(MIN_PRUNED_TIMERS, 2 * this.timers.size);
