--- a/packages/core/src/accounts/__tests__/account_directory.spec.ts
+++ b/packages/core/src/accounts/__tests__/account_directory.spec.ts
@@ -1,7 +1,7 @@
 import test from 'ava';
 import fc from 'fast-check';
 import {AccountDirectory, isOwner} from '../account_directory.js';
-import type {ClientAccount, Knowledge} from '../client_account.js';
+import type {ClientAccount, ConfigFreshness} from '../client_account.js';
 
 const ACCOUNTS: readonly ClientAccount[] = [
   {name: 'alpha', keys: ['key-a1', 'key-a2']},
@@ -11,19 +11,19 @@
 function admit(
   key: string | undefined,
   isPublic: boolean,
-  knowledge: Knowledge,
+  freshness: ConfigFreshness,
   accounts: readonly ClientAccount[] = ACCOUNTS,
 ): string {
-  return describe(new AccountDirectory(accounts), key, isPublic, knowledge);
+  return describe(new AccountDirectory(accounts), key, isPublic, freshness);
 }
 
 function describe(
   directory: AccountDirectory,
   key: string | undefined,
   isPublic: boolean,
-  knowledge: Knowledge,
+  freshness: ConfigFreshness,
 ): string {
-  const admission = directory.admit({key, isPublic, knowledge});
+  const admission = directory.admit({key, isPublic, freshness: freshness});
   if (admission.kind !== 'admitted') return admission.kind;
   const {caller} = admission;
   return caller.kind === 'account' ? caller.name : caller.kind;
--- a/packages/core/src/accounts/account_directory.ts
+++ b/packages/core/src/accounts/account_directory.ts
@@ -4,7 +4,7 @@
   Admission,
   Caller,
   ClientAccount,
-  Knowledge,
+  ConfigFreshness,
 } from './client_account.js';
 
 /** What is asked of one request. */
@@ -13,7 +13,7 @@
   readonly key: string | undefined;
   /** Whether its rule asks for no key. */
   readonly isPublic: boolean;
-  readonly knowledge: Knowledge;
+  readonly freshness: ConfigFreshness;
 }
 
 export class AccountDirectory {
@@ -27,7 +27,7 @@
   }
 
   /** Whether requests need a key. */
-  get isInForce(): boolean {
+  get isEnabled(): boolean {
     return this.accounts !== undefined;
   }
 
@@ -36,19 +36,19 @@
    * knowledge of the newest version; a key that is known goes on being served
    * by a VM that is out of touch, unless the operator bounds that.
    */
-  admit({key, isPublic, knowledge}: AdmissionQuery): Admission {
-    if (!this.isInForce) return admitAs({kind: 'unchecked'});
+  admit({key, isPublic, freshness}: AdmissionQuery): Admission {
+    if (!this.isEnabled) return admitAs({kind: 'unchecked'});
     const account = key === undefined ? undefined : this.byKey.get(key);
     if (!account && isPublic) return admitAs({kind: 'anonymous'});
-    if (knowledge === 'expired') return {kind: 'uncertain'};
+    if (freshness === 'expired') return {kind: 'uncertain'};
     if (account) return admitAs({kind: 'account', name: account.name});
-    return {kind: knowledge === 'current' ? 'refused' : 'uncertain'};
+    return {kind: freshness === 'current' ? 'refused' : 'uncertain'};
   }
 
   /** In whose name work goes on that was accepted for the account, if for any. */
   describeOwner(account: string | undefined): Caller {
     if (account !== undefined) return {kind: 'account', name: account};
-    return {kind: this.isInForce ? 'anonymous' : 'unchecked'};
+    return {kind: this.isEnabled ? 'anonymous' : 'unchecked'};
   }
 }
 
--- a/packages/core/src/accounts/client_account.ts
+++ b/packages/core/src/accounts/client_account.ts
@@ -26,7 +26,7 @@
   | {readonly kind: 'uncertain'};
 
 /** How far a VM may rely on the configuration that it knows. */
-export type Knowledge =
+export type ConfigFreshness =
   /** It has read all versions there were a moment ago. */
   | 'current'
   /** A newer version may stand in the log. */
--- a/packages/core/src/batches/__tests__/batch_fixtures.ts
+++ b/packages/core/src/batches/__tests__/batch_fixtures.ts
@@ -14,7 +14,7 @@
 import {assembleState, type BatchState, ProgressFold} from '../batch_state.js';
 import type {ScheduleAction} from '../schedule_action.js';
 import type {EarlierFailures} from '../earlier_batches.js';
-import type {EngineView} from '../engine_board.js';
+import type {EngineView} from '../engine_health.js';
 
 export const MODEL = 'm0';
 export const SERVICE = 'llm';
--- a/packages/core/src/batches/__tests__/batch_scheduler.spec.ts
+++ b/packages/core/src/batches/__tests__/batch_scheduler.spec.ts
@@ -32,12 +32,12 @@
   const {scheduler, open} = createSchedule([createEngine('e0')]);
   open(createBatch('b0', ['g0a']));
   const [run] = listStarts(scheduler.decide(0));
-  scheduler.noteEvent(run, createEvent(1, run.id), 10);
-  scheduler.noteEnd(run, 'broken', 20);
+  scheduler.onEvent(run, createEvent(1, run.id), 10);
+  scheduler.onRunEnd(run, 'broken', 20);
   const [again] = listStarts(scheduler.decide(30));
   t.is(again.job.transcript.lastEventId, 1);
-  scheduler.noteEvent(again, createEvent(2, again.id), 40);
-  scheduler.noteEnd(again, 'finished', 50);
+  scheduler.onEvent(again, createEvent(2, again.id), 40);
+  scheduler.onRunEnd(again, 'finished', 50);
   const [list] = scheduler.decide(50);
   t.like(list, {kind: 'list', result: {state: 'done', output: '1\n2'}});
 });
@@ -46,8 +46,8 @@
   const {scheduler, open} = createSchedule([createEngine('e0')]);
   open(createBatch('b0', ['g0a']));
   const [run] = listStarts(scheduler.decide(0));
-  t.true(scheduler.noteEvent(run, createEvent(1, run.id), 10));
-  t.false(scheduler.noteEvent(run, createEvent(3, run.id), 20));
+  t.true(scheduler.onEvent(run, createEvent(1, run.id), 10));
+  t.false(scheduler.onEvent(run, createEvent(3, run.id), 20));
 });
 
 // A trainer gets samples of weights that are too old.
@@ -59,8 +59,8 @@
   const {scheduler, open} = createSchedule([createEngine('e0', {versions})]);
   open(createBatch('b0', ['g0a'], {minVersion: 3}));
   const [run] = listStarts(scheduler.decide(0));
-  t.false(scheduler.noteEvent(run, createEvent(1, run.id, 2), 10));
-  scheduler.noteEnd(run, 'finished', 20);
+  t.false(scheduler.onEvent(run, createEvent(1, run.id, 2), 10));
+  scheduler.onRunEnd(run, 'finished', 20);
   t.deepEqual(scheduler.decide(20), [], 'no text is no result');
   const [again] = listStarts(scheduler.decide(100));
   t.is(again.job.transcript.events.length, 0);
@@ -105,12 +105,12 @@
   const slowRun = runs.find(({engineId}) => engineId === 'slow')!;
   const fastRun = runs.find(({engineId}) => engineId === 'fast')!;
   for (let i = 0; i < 10; i++) {
-    scheduler.noteEvent(fastRun, createEvent(i, fastRun.id), i * 40);
-    scheduler.noteEvent(slowRun, createEvent(i, slowRun.id), i * 160);
+    scheduler.onEvent(fastRun, createEvent(i, fastRun.id), i * 40);
+    scheduler.onEvent(slowRun, createEvent(i, slowRun.id), i * 160);
   }
   const stops = listStops(scheduler.decide(1460));
   t.deepEqual(stops, [[slowRun, 'engine_slow']]);
-  scheduler.noteEnd(slowRun, 'stopped', 1461);
+  scheduler.onRunEnd(slowRun, 'stopped', 1461);
   const [moved] = listStarts(scheduler.decide(1461));
   t.is(moved.engineId, 'fast');
   t.is(moved.job.transcript.lastEventId, 9);
@@ -128,7 +128,7 @@
     listStops(scheduler.decide(810)).map(([, reason]) => reason),
     ['engine_silent', 'engine_silent'],
   );
-  for (const run of runs) scheduler.noteEnd(run, 'stopped', 811);
+  for (const run of runs) scheduler.onRunEnd(run, 'stopped', 811);
   t.deepEqual(scheduler.decide(820), [], 'it rests');
   t.is(listStarts(scheduler.decide(2100)).length, 2, 'and is tried again');
 });
@@ -143,7 +143,7 @@
   open(createBatch('b0', ['g0a']));
   for (let i = 0; i < 3; i++) {
     const [run] = listStarts(scheduler.decide(i * 100));
-    scheduler.noteEnd(run, 'broken', i * 100 + 50);
+    scheduler.onRunEnd(run, 'broken', i * 100 + 50);
   }
   t.deepEqual(scheduler.decide(5000), []);
   t.is(listStarts(scheduler.decide(15_300)).length, 1);
@@ -158,14 +158,14 @@
   const {scheduler, open} = createSchedule(engines);
   open(createBatch('b0', ['g0a']));
   const [run] = listStarts(scheduler.decide(0));
-  scheduler.noteEvent(run, createEvent(0, run.id), 10);
-  scheduler.noteEnd(run, 'broken', 20);
+  scheduler.onEvent(run, createEvent(0, run.id), 10);
+  scheduler.onRunEnd(run, 'broken', 20);
   for (let i = 1; i <= 5; i++) {
     const [again] = listStarts(scheduler.decide(i * 20));
-    scheduler.noteEnd(again, 'broken', i * 20 + 10);
+    scheduler.onRunEnd(again, 'broken', i * 20 + 10);
   }
   const [sixth] = listStarts(scheduler.decide(120));
-  scheduler.noteEnd(sixth, 'broken', 130);
+  scheduler.onRunEnd(sixth, 'broken', 130);
   t.deepEqual(scheduler.decide(2000), [], 'now it is');
 });
 
@@ -186,7 +186,7 @@
   });
   const [run] = listStarts(first);
   t.is(run.job.item.id, 'g1a');
-  scheduler.noteEnd(run, 'failed', 10);
+  scheduler.onRunEnd(run, 'failed', 10);
   const [second] = scheduler.decide(20);
   t.like(second, {kind: 'list', reason: 'failed_in_earlier_batches'});
 });
@@ -195,11 +195,11 @@
   const {scheduler, open} = createSchedule([createEngine('e0')]);
   open(createBatch('b0', ['g0a', 'g1a']), createTerms({attempts: 2}));
   const [first, second] = listStarts(scheduler.decide(0));
-  scheduler.noteEnd(first, 'failed', 10);
-  scheduler.noteEnd(second, 'impossible', 10);
+  scheduler.onRunEnd(first, 'failed', 10);
+  scheduler.onRunEnd(second, 'impossible', 10);
   t.like(scheduler.decide(10)[0], {reason: 'impossible'});
   const [again] = listStarts(scheduler.decide(100));
-  scheduler.noteEnd(again, 'failed', 110);
+  scheduler.onRunEnd(again, 'failed', 110);
   t.like(scheduler.decide(110)[0], {
     reason: 'attempts_used_up',
     result: {state: 'errored'},
@@ -220,10 +220,10 @@
   const {scheduler, open} = createSchedule([createEngine('e0', {slots: 1})]);
   open(createBatch('b0', ['g0a']));
   const [run] = listStarts(scheduler.decide(0));
-  scheduler.noteEvent(run, createEvent(1, run.id), 10);
+  scheduler.onEvent(run, createEvent(1, run.id), 10);
   scheduler.closeBatch('b0');
   scheduler.decide(20);
-  scheduler.noteEnd(run, 'stopped', 20);
+  scheduler.onRunEnd(run, 'stopped', 20);
   open(createBatch('b1', ['g5a', 'g0a'], {groupsWanted: 1}));
   const [again] = listStarts(scheduler.decide(30));
   t.is(again.job.item.id, 'g0a');
@@ -234,8 +234,8 @@
   const {scheduler, open} = createSchedule([createEngine('e0')]);
   open(createBatch('b0', ['g0a']));
   const [run] = listStarts(scheduler.decide(0));
-  scheduler.noteEvent(run, createEvent(1, run.id, 1), 10);
-  scheduler.noteEnd(run, 'finished', 20);
+  scheduler.onEvent(run, createEvent(1, run.id, 1), 10);
+  scheduler.onRunEnd(run, 'finished', 20);
   scheduler.decide(20);
   open(createBatch('b1', ['g0a'], {minVersion: 1}));
   t.like(scheduler.decide(30)[0], {reason: 'known_from_earlier_batch'});
@@ -252,11 +252,11 @@
   t.is(runs.length, 2);
   open(createBatch('b1', ['g7a']));
   t.deepEqual(scheduler.decide(700), [], 'not right after its start');
-  for (const run of runs) scheduler.noteEvent(run, createEvent(1, run.id), 750);
+  for (const run of runs) scheduler.onEvent(run, createEvent(1, run.id), 750);
   const [[stopped, reason]] = listStops(scheduler.decide(810));
   t.is(stopped.job.item.id, 'g1a');
   t.is(reason, 'made_room');
-  scheduler.noteEnd(stopped, 'stopped', 811);
+  scheduler.onRunEnd(stopped, 'stopped', 811);
   const [started] = listStarts(scheduler.decide(811));
   t.is(started.job.item.id, 'g7a');
 });
@@ -266,8 +266,8 @@
   const {scheduler, open} = createSchedule([engine]);
   open(createBatch('b0', ['g0a']), createTerms({singleVersion: true}));
   const [run] = listStarts(scheduler.decide(0));
-  scheduler.noteEvent(run, createEvent(1, run.id, 1), 10);
-  scheduler.noteEnd(run, 'broken', 20);
+  scheduler.onEvent(run, createEvent(1, run.id, 1), 10);
+  scheduler.onRunEnd(run, 'broken', 20);
   scheduler.setEngines([createEngine('e0', {versions: new Map([[MODEL, 2]])})]);
   const [again] = listStarts(scheduler.decide(30));
   t.is(again.job.transcript.events.length, 0);
@@ -289,7 +289,7 @@
     stops.map(([, reason]) => reason),
     ['engine_loading', 'engine_loading'],
   );
-  for (const run of runs) scheduler.noteEnd(run, 'stopped', 21);
+  for (const run of runs) scheduler.onRunEnd(run, 'stopped', 21);
   const moved = listStarts(scheduler.decide(21));
   t.deepEqual(
     moved.map(({engineId}) => engineId),
@@ -309,7 +309,7 @@
   const [run] = listStarts(scheduler.decide(0));
   // It outgrows its guess and is now expected to be as long again.
   for (let i = 0; i < 21; i++) {
-    scheduler.noteEvent(run, createEvent(i, run.id), i * 50);
+    scheduler.onEvent(run, createEvent(i, run.id), i * 50);
     t.deepEqual(listStops(scheduler.decide(i * 50)), []);
   }
 });
@@ -321,7 +321,7 @@
 ): void {
   for (const [id, gapMs] of Object.entries(gapsMs)) {
     for (let i = 0; i < 10; i++) {
-      scheduler.board.speeds.note(id, gapMs, 1, i * gapMs);
+      scheduler.engineHealth.speeds.record(id, gapMs, 1, i * gapMs);
     }
   }
 }
@@ -358,13 +358,13 @@
   const [late] = listStarts(scheduler.decide(510));
   t.deepEqual([early.engineId, late.engineId], ['fast', 'slow']);
   for (const run of [early, other, late]) {
-    scheduler.noteEvent(run, createEvent(0, run.id), 1300);
+    scheduler.onEvent(run, createEvent(0, run.id), 1300);
   }
   t.deepEqual(listStops(scheduler.decide(1400)), [], 'no room there');
-  scheduler.noteEvent(early, createEvent(1, early.id), 1335);
-  scheduler.noteEnd(early, 'finished', 1510);
+  scheduler.onEvent(early, createEvent(1, early.id), 1335);
+  scheduler.onRunEnd(early, 'finished', 1510);
   t.deepEqual(listStops(scheduler.decide(1700)), [[late, 'engine_outrun']]);
-  scheduler.noteEnd(late, 'stopped', 1710);
+  scheduler.onRunEnd(late, 'stopped', 1710);
   const [moved] = listStarts(scheduler.decide(1710));
   t.is(moved.engineId, 'fast');
 });
--- a/packages/core/src/batches/__tests__/batch_state.spec.ts
+++ b/packages/core/src/batches/__tests__/batch_state.spec.ts
@@ -53,12 +53,12 @@
   const transcript = fold.transcripts.get('g0a')!;
   const other = [createEvent(2, 'b')];
   fold.apply({...ITEM, afterRun: 'b', events: other, isWhole: true});
-  t.false(transcript.isWhole, 'the mark belongs to a text of another run');
+  t.false(transcript.isComplete, 'the mark belongs to a text of another run');
   const last = [createEvent(2, 'a')];
   fold.apply({...ITEM, afterRun: 'a', events: last, isWhole: true});
-  t.true(transcript.isWhole);
+  t.true(transcript.isComplete);
   fold.apply({...ITEM, afterRun: 'a', events: other});
-  t.false(transcript.isWhole, 'another run went on from event 1');
+  t.false(transcript.isComplete, 'another run went on from event 1');
 });
 
 test('progress of other batches is left out', t => {
@@ -76,11 +76,11 @@
     const {scheduler, open} = createSchedule([createEngine('e0')]);
     open(createBatch('b0', ['g0a']));
     const [run] = listStarts(scheduler.decide(0));
-    scheduler.noteEvent(run, createEvent(1, run.id), 1);
-    scheduler.noteEnd(run, 'finished', 2);
+    scheduler.onEvent(run, createEvent(1, run.id), 1);
+    scheduler.onRunEnd(run, 'finished', 2);
     scheduler.decide(3);
     const record = listResult('b0', RESULT, 0, isOwn ? 'vm' : 'other');
-    if (record.kind === 'result') scheduler.noteListed('b0', record.listed);
+    if (record.kind === 'result') scheduler.onResultListed('b0', record.listed);
     scheduler.closeBatch('b0');
     open(createBatch('b1', ['g0a']));
     const kinds = scheduler.decide(10).map(({kind}) => kind);
@@ -103,7 +103,7 @@
   const scheduler = new BatchScheduler({tokensPerEvent: 1, runPrefix: 'next'});
   scheduler.setEngines([createEngine('e0')]);
   scheduler.openBatch({...state, items}, createTerms());
-  t.true(scheduler.knowsBatch(BATCH));
+  t.true(scheduler.hasBatch(BATCH));
   const again = createBatch('b1', ['g0a']);
   const next = new FixtureLog([again]);
   next.apply(acceptBatch(again));
--- a/packages/core/src/batches/__tests__/earlier_batches.spec.ts
+++ b/packages/core/src/batches/__tests__/earlier_batches.spec.ts
@@ -1,7 +1,7 @@
 import test from 'ava';
 import {BatchIndex, type IndexedBatch} from '../batch_index.js';
 import type {Batch} from '../batch_record.js';
-import {countEarlierFailures, listEarlier} from '../earlier_batches.js';
+import {countEarlierFailures, listEarlierBatches} from '../earlier_batches.js';
 import {acceptBatch, createBatch} from './batch_fixtures.js';
 
 interface Step {
@@ -24,7 +24,9 @@
 
 function listIds(steps: readonly Step[]): readonly string[] {
   const entries = createSteps(steps);
-  return listEarlier(entries.at(-1)!, entries).map(({header}) => header.id);
+  return listEarlierBatches(entries.at(-1)!, entries).map(
+    ({header}) => header.id,
+  );
 }
 
 const LAST: Step = {id: 'last', items: ['g0a', 'g9a'], isOpen: true};
--- a/packages/core/src/batches/__tests__/placement.spec.ts
+++ b/packages/core/src/batches/__tests__/placement.spec.ts
@@ -1,5 +1,5 @@
 import test from 'ava';
-import {EngineBoard} from '../engine_board.js';
+import {EngineHealth} from '../engine_health.js';
 import {Placement} from '../placement.js';
 import {
   createBatch,
@@ -16,10 +16,10 @@
   const other = runs.find(({job}) => job.item.group === 'g1')!;
   const group = runs.filter(run => run !== other);
   const engines = new Map(['a', 'b'].map(id => [id, createEngine(id)]));
-  const place = new Placement(engines, group, new EngineBoard(), 1, 0);
-  for (let i = 0; i < othersOnA; i++) place.add('a', other.job);
-  for (let i = 0; i < othersOnB; i++) place.add('b', other.job);
-  return {place, group};
+  const placement = new Placement(engines, group, new EngineHealth(), 1, 0);
+  for (let i = 0; i < othersOnA; i++) placement.add('a', other.job);
+  for (let i = 0; i < othersOnB; i++) placement.add('b', other.job);
+  return {placement: placement, group};
 }
 
 // Items are given to an engine for the sake of a group that has left it.
@@ -27,13 +27,13 @@
 // 2. The next item of the group is counted as sharing its prompt with them.
 // Cause: a run that was taken off left its group behind.
 test('a group that has left an engine draws no items there', t => {
-  const {place, group} = createPlacement(1, 1);
-  for (const run of group) place.remove(run);
-  t.is(place.pick(group[0].job)?.id, 'a');
+  const {placement, group} = createPlacement(1, 1);
+  for (const run of group) placement.remove(run);
+  t.is(placement.pickEngine(group[0].job)?.id, 'a');
 });
 
 test('a group of which a run is left draws its items', t => {
-  const {place, group} = createPlacement(2, 1);
-  place.remove(group[0]);
-  t.is(place.pick(group[0].job)?.id, 'b');
+  const {placement, group} = createPlacement(2, 1);
+  placement.remove(group[0]);
+  t.is(placement.pickEngine(group[0].job)?.id, 'b');
 });
--- a/packages/core/src/batches/__tests__/transcript.spec.ts
+++ b/packages/core/src/batches/__tests__/transcript.spec.ts
@@ -42,22 +42,22 @@
 test('a text fits where its versions do', t => {
   const text = new Transcript();
   text.append(createEvent(1, 'a', 6));
-  t.true(text.isFit({minVersion: 6, singleVersion: true}));
-  t.false(text.isFit({minVersion: 7, singleVersion: false}));
+  t.true(text.satisfies({minVersion: 6, singleVersion: true}));
+  t.false(text.satisfies({minVersion: 7, singleVersion: false}));
   text.append(createEvent(2, 'a', 7));
   t.deepEqual(text.listVersions(), [6, 7]);
-  t.true(text.isFit({minVersion: 6, singleVersion: false}));
-  t.false(text.isFit({minVersion: 6, singleVersion: true}));
+  t.true(text.satisfies({minVersion: 6, singleVersion: false}));
+  t.false(text.satisfies({minVersion: 6, singleVersion: true}));
 });
 
 test('a text is whole until an event is added or it is dropped', t => {
   const text = createText([1, 2], 'a');
-  t.false(text.isWhole);
+  t.false(text.isComplete);
   text.finish();
-  t.true(text.isWhole);
+  t.true(text.isComplete);
   t.true(text.join('a', [createEvent(3, 'a')]));
-  t.false(text.isWhole);
+  t.false(text.isComplete);
   text.finish();
   text.clear();
-  t.false(text.isWhole);
+  t.false(text.isComplete);
 });
--- a/packages/core/src/batches/__tests__/trim_marks.spec.ts
+++ b/packages/core/src/batches/__tests__/trim_tracker.spec.ts
@@ -1,10 +1,10 @@
 import test from 'ava';
 import fc from 'fast-check';
-import {TrimMarks} from '../trim_marks.js';
+import {TrimTracker} from '../trim_tracker.js';
 
-const KEEP_MS = 60_000;
+const RETENTION_MS = 60_000;
 /** Marks are a sixth of the time apart, and a record may just have missed one. */
-const SLACK_MS = KEEP_MS / 3;
+const SLACK_MS = RETENTION_MS / 3;
 
 interface Trim {
   readonly nowMs: number;
@@ -14,13 +14,13 @@
 
 /** Writes a record after each of `waits` and returns what stands each time. */
 function writeAll(waits: readonly number[]): readonly Trim[] {
-  const marks = new TrimMarks(KEEP_MS);
+  const tracker = new TrimTracker(RETENTION_MS);
   const writtenMs: number[] = [];
   let nowMs = 0;
   let first = 0;
   return waits.map(waitMs => {
     nowMs += waitMs;
-    first = marks.note(writtenMs.length, nowMs) ?? first;
+    first = tracker.recordAppend(writtenMs.length, nowMs) ?? first;
     writtenMs.push(nowMs);
     return {nowMs, first, writtenMs: [...writtenMs]};
   });
@@ -31,7 +31,7 @@
   fc.assert(
     fc.property(waits, each =>
       writeAll(each).every(({nowMs, first, writtenMs}) =>
-        writtenMs.slice(0, first).every(atMs => nowMs - atMs > KEEP_MS),
+        writtenMs.slice(0, first).every(atMs => nowMs - atMs > RETENTION_MS),
       ),
     ),
     {seed: 5, numRuns: 300},
@@ -45,6 +45,6 @@
 test('under steady writing nothing much older stays', t => {
   const steps = writeAll(Array.from({length: 3000}, () => 100));
   for (const {nowMs, first, writtenMs} of steps) {
-    t.true(nowMs - writtenMs[first] <= KEEP_MS + SLACK_MS);
+    t.true(nowMs - writtenMs[first] <= RETENTION_MS + SLACK_MS);
   }
 });
--- a/packages/core/src/batches/batch_job.ts
+++ b/packages/core/src/batches/batch_job.ts
@@ -2,7 +2,7 @@
 
 import type {Batch, BatchItem, ItemResult} from './batch_record.js';
 import type {EarlierFailures} from './earlier_batches.js';
-import {Transcript, type VersionDemand} from './transcript.js';
+import {Transcript, type VersionRequirement} from './transcript.js';
 
 export type JobState =
   | 'waiting'
@@ -20,13 +20,13 @@
   readonly transcript: Transcript;
   state: JobState;
   /** Events of `transcript` that the log keeps for this batch. */
-  recorded: number;
+  recordedEvents: number;
   /** Set once the item has a result, where its text is known here. */
   result: ItemResult | undefined;
   /** Attempts that an endpoint answered as failed. */
   failures: number;
   /** Those in batches before this one. */
-  readonly earlier: EarlierFailures;
+  readonly earlierFailures: EarlierFailures;
   /** Reward calls that an endpoint answered as failed. */
   rewardFailures: number;
   /** Connections that broke before the first event of a run, one after another. */
@@ -36,7 +36,7 @@
 }
 
 /** What the route of a batch asks for, with times of the steady clock. */
-export interface OpenBatchTerms extends VersionDemand {
+export interface OpenBatchTerms extends VersionRequirement {
   readonly service: string;
   readonly attempts: number;
   readonly dueAtMs: number;
@@ -75,17 +75,17 @@
   batch: OpenBatch,
   item: BatchItem,
   transcript = new Transcript(),
-  earlier: EarlierFailures = NO_FAILURES,
+  earlierFailures: EarlierFailures = NO_FAILURES,
 ): Job {
   return {
     batch,
     item,
     transcript,
     state: 'waiting',
-    recorded: 0,
+    recordedEvents: 0,
     result: undefined,
     failures: 0,
-    earlier,
+    earlierFailures: earlierFailures,
     rewardFailures: 0,
     earlyBreaks: 0,
     notBeforeMs: -Infinity,
@@ -95,15 +95,18 @@
 /** Output tokens that `job` is still expected to make. */
 export function estimateRemaining(job: Job, tokensPerEvent: number): number {
   const {expectedOutputTokens, maxOutputTokens} = job.item;
-  const made = job.transcript.events.length * tokensPerEvent;
+  const generated = job.transcript.events.length * tokensPerEvent;
   // A text that has outgrown the guess is in the tail of lengths, where as much
   // again is to come as is there already; never more than the stated bound.
-  const total = made > expectedOutputTokens ? made * 2 : expectedOutputTokens;
-  return Math.max(Math.min(total, maxOutputTokens) - made, tokensPerEvent);
+  const total =
+    generated > expectedOutputTokens ? generated * 2 : expectedOutputTokens;
+  return Math.max(Math.min(total, maxOutputTokens) - generated, tokensPerEvent);
 }
 
 /** Memory that `job` is expected to take at its end, tokens. */
 export function estimateFootprint(job: Job, tokensPerEvent: number): number {
-  const made = job.transcript.events.length * tokensPerEvent;
-  return job.item.promptTokens + made + estimateRemaining(job, tokensPerEvent);
+  const generated = job.transcript.events.length * tokensPerEvent;
+  return (
+    job.item.promptTokens + generated + estimateRemaining(job, tokensPerEvent)
+  );
 }
--- a/packages/core/src/batches/batch_scheduler.ts
+++ b/packages/core/src/batches/batch_scheduler.ts
@@ -19,16 +19,16 @@
 } from './batch_job.js';
 import type {BatchHeader, ListedResult, OutputEvent} from './batch_record.js';
 import type {BatchState} from './batch_state.js';
-import {type EarlierFailures, KEPT_STEPS} from './earlier_batches.js';
-import {EngineBoard, type EngineView} from './engine_board.js';
+import {type EarlierFailures, RETAINED_BATCHES} from './earlier_batches.js';
+import {EngineHealth, type EngineView} from './engine_health.js';
 import {
   chooseText,
   clearText,
   compareRanks,
   copyText,
   isAllSilent,
-  judgeEngine,
-  judgeOverdue,
+  findMoveReason,
+  findGiveUpReason,
 } from './job_rules.js';
 import {rankUnscored} from '../rewards/reward_order.js';
 import {JobOutcomes} from './job_outcomes.js';
@@ -60,11 +60,11 @@
   /** Makes the ids of runs unique over all schedulers there ever were. */
   readonly runPrefix: string;
   /** Whether an item must not run now, as requests like it crash engines. */
-  readonly isHeld?: (job: Job) => boolean;
+  readonly isQuarantined?: (job: Job) => boolean;
 }
 
 export class BatchScheduler {
-  readonly board = new EngineBoard();
+  readonly engineHealth = new EngineHealth();
   private readonly open = new Map<string, OpenBatch>();
   /** The newest job of each item id, to go on from when it is asked for again. */
   private readonly lastJobs = new Map<string, Job>();
@@ -107,34 +107,35 @@
       chosenGroups: new Set(),
     };
     for (const item of batch.items) {
-      const known = state.items.get(item.id)!;
+      const storedItem = state.items.get(item.id)!;
       const earlier = this.lastJobs.get(item.id);
       if (earlier) carriedGroups.add(item.group);
-      const text = chooseText(known.transcript, earlier);
+      const text = chooseText(storedItem.transcript, earlier);
       const job = createJob(open, item, copyText(text), failed.get(item.id));
-      if (text === known.transcript) job.recorded = text.events.length;
-      job.failures = known.failures;
-      job.rewardFailures = known.rewardFailures;
-      if (known.isListed) {
+      if (text === storedItem.transcript)
+        job.recordedEvents = text.events.length;
+      job.failures = storedItem.failures;
+      job.rewardFailures = storedItem.rewardFailures;
+      if (storedItem.isListed) {
         job.state = 'finished';
-        job.result = known.result;
+        job.result = storedItem.result;
       }
       jobs.set(item.id, job);
-      if (!state.isEnded) this.takeWhatIsKnown(job, earlier);
+      if (!state.isEnded) this.reuseExisting(job, earlier);
       this.lastJobs.set(item.id, job);
     }
-    if (state.isEnded) this.noteClosed(open);
+    if (state.isEnded) this.retainClosed(open);
     else this.open.set(batch.id, open);
   }
 
-  private takeWhatIsKnown(job: Job, earlier: Job | undefined): void {
+  private reuseExisting(job: Job, earlier: Job | undefined): void {
     if (earlier) this.outcomes.reuseResult(job, earlier);
-    this.outcomes.takeKnownText(job);
-    this.outcomes.giveUpHopeless(job);
+    this.outcomes.useStoredText(job);
+    this.outcomes.giveUpRepeatedlyFailed(job);
   }
 
   /** Whether the batch is open, or was closed so lately that its texts are kept. */
-  knowsBatch({id, model}: BatchHeader): boolean {
+  hasBatch({id, model}: BatchHeader): boolean {
     if (this.open.has(id)) return true;
     const closed = this.closed.get(model) ?? [];
     return closed.some(({batch}) => batch.id === id);
@@ -148,7 +149,7 @@
     for (const run of this.runs.values()) {
       if (run.job.batch === open) this.stop(run, 'ended');
     }
-    this.noteClosed(open);
+    this.retainClosed(open);
   }
 
   /**
@@ -156,13 +157,13 @@
    * the last ones are kept; kept for as long as batches are known they fill the
    * memory.
    */
-  private noteClosed(open: OpenBatch): void {
+  private retainClosed(open: OpenBatch): void {
     const {model} = open.batch;
     const closed = [...(this.closed.get(model) ?? []), open];
     this.closed.set(model, closed);
-    if (closed.length <= KEPT_STEPS) return;
-    const forgotten = closed.shift()!;
-    for (const [id, job] of forgotten.jobs) {
+    if (closed.length <= RETAINED_BATCHES) return;
+    const oldest = closed.shift()!;
+    for (const [id, job] of oldest.jobs) {
       if (this.lastJobs.get(id) === job) this.lastJobs.delete(id);
     }
   }
@@ -182,7 +183,7 @@
    * two counts is the log's choice, so one's own is kept for later batches only
    * where it is the one that stands.
    */
-  noteListed(batchId: string, {itemId, writer}: ListedResult): void {
+  onResultListed(batchId: string, {itemId, writer}: ListedResult): void {
     const job = this.open.get(batchId)?.jobs.get(itemId);
     if (!job) return;
     const isOwn = writer === this.cfg.runPrefix;
@@ -197,8 +198,8 @@
     if (!open) return;
     open.terms = terms;
     for (const job of open.jobs.values()) {
-      this.outcomes.takeKnownText(job);
-      this.outcomes.giveUpHopeless(job);
+      this.outcomes.useStoredText(job);
+      this.outcomes.giveUpRepeatedlyFailed(job);
     }
   }
 
@@ -208,12 +209,12 @@
   }
 
   /** The reward call of `job` was answered with its score. */
-  noteScore(job: Job, score: string): void {
-    this.outcomes.takeScore(job, score);
+  onScore(job: Job, score: string): void {
+    this.outcomes.onScore(job, score);
   }
 
   /** The reward call of `job` was answered as failed; `attempts` of these are enough to give it up. */
-  noteRewardFailure(job: Job, attempts: number): void {
+  onRewardFailure(job: Job, attempts: number): void {
     this.outcomes.countRewardFailure(job, attempts);
   }
 
@@ -244,7 +245,7 @@
   }
 
   /** An event of `run` arrived. Says whether it can be used and follows the text so far. */
-  noteEvent(run: Run, event: OutputEvent, nowMs: number): boolean {
+  onEvent(run: Run, event: OutputEvent, nowMs: number): boolean {
     if (!this.runs.has(run) || run.isStopping) return true;
     // The engine has older weights than it was taken to have; the rest of the
     // text would be made for nothing.
@@ -253,18 +254,18 @@
     if (!run.job.transcript.append(event)) return false;
     if (run.events > 0) {
       const gapMs = nowMs - run.lastEventMs;
-      const beside = this.runs.countAt(run.engineId);
-      this.board.speeds.note(run.engineId, gapMs, beside, nowMs);
+      const runsOnEngine = this.runs.countAt(run.engineId);
+      this.engineHealth.speeds.record(run.engineId, gapMs, runsOnEngine, nowMs);
     }
     run.events += 1;
     run.lastEventMs = nowMs;
     run.job.earlyBreaks = 0;
-    this.board.noteEvent(run.engineId);
+    this.engineHealth.recordEvent(run.engineId);
     return true;
   }
 
   /** A run is over. */
-  noteEnd(run: Run, end: RunEnd, nowMs: number): void {
+  onRunEnd(run: Run, end: RunEnd, nowMs: number): void {
     if (!this.runs.delete(run)) return;
     const {job, engineId} = run;
     // Events that came after the stop were not kept, so even a run that got to
@@ -277,7 +278,7 @@
     job.state = 'waiting';
     switch (end) {
       case 'finished':
-        this.outcomes.takeOutput(job, nowMs);
+        this.outcomes.onOutputComplete(job, nowMs);
         return;
       case 'failed':
         this.outcomes.countFailure(job, nowMs);
@@ -286,11 +287,11 @@
         this.outcomes.giveUp(job, 'impossible');
         return;
       case 'refused':
-        this.board.noteRefusal(engineId, job.batch.batch.model, nowMs);
+        this.engineHealth.recordRefusal(engineId, job.batch.batch.model, nowMs);
         return;
       case 'misdirected':
       case 'unreachable':
-        this.board.noteUnreachable(engineId, nowMs);
+        this.engineHealth.recordUnreachable(engineId, nowMs);
         return;
       case 'broken':
         this.countBreak(run, nowMs);
@@ -304,16 +305,16 @@
   decide(nowMs: number): readonly ScheduleAction[] {
     this.giveUpOverdue(nowMs);
     this.stopSilent(nowMs);
-    const place = new Placement(
+    const placement = new Placement(
       this.engines,
       this.runs.values(),
-      this.board,
+      this.engineHealth,
       this.cfg.tokensPerEvent,
       nowMs,
     );
-    this.startWaiting(place, nowMs);
-    this.moveRuns(place);
-    this.rebalance(place, nowMs);
+    this.startWaiting(placement, nowMs);
+    this.moveRuns(placement);
+    this.rebalance(placement, nowMs);
     const actions = this.actions;
     this.actions = [];
     return actions;
@@ -321,7 +322,7 @@
 
   private giveUpOverdue(nowMs: number): void {
     for (const open of this.open.values()) {
-      const reason = judgeOverdue(open, nowMs);
+      const reason = findGiveUpReason(open, nowMs);
       if (!reason) continue;
       for (const job of open.jobs.values()) {
         this.outcomes.giveUp(job, reason);
@@ -340,7 +341,7 @@
     for (const [engineId, runs] of byEngine) {
       const isLoading = (this.engines.get(engineId)?.loading.size ?? 0) > 0;
       if (!isLoading && isAllSilent(runs, nowMs)) {
-        this.board.noteSilence(engineId, nowMs);
+        this.engineHealth.recordSilence(engineId, nowMs);
         for (const run of runs) this.stop(run, 'engine_silent');
         continue;
       }
@@ -351,33 +352,33 @@
     }
   }
 
-  private startWaiting(place: Placement, nowMs: number): void {
+  private startWaiting(placement: Placement, nowMs: number): void {
     const surplus: Run[] = [];
-    let isListed = false;
-    for (const job of this.listWaiting(place, nowMs)) {
-      const engine = place.pick(job);
+    let isSurplusListed = false;
+    for (const job of this.listWaiting(placement, nowMs)) {
+      const engine = placement.pickEngine(job);
       if (engine) {
         this.start(job, engine, nowMs);
-        place.add(engine.id, job);
+        placement.add(engine.id, job);
         continue;
       }
-      if (!place.isNeeded(job)) continue;
-      if (!isListed) surplus.push(...this.listSurplus(place, nowMs));
-      isListed = true;
-      this.makeRoom(job, surplus, place);
+      if (!placement.isNeeded(job)) continue;
+      if (!isSurplusListed) surplus.push(...this.listSurplus(placement, nowMs));
+      isSurplusListed = true;
+      this.makeRoom(job, surplus, placement);
     }
   }
 
   /** Waiting jobs in the order in which they should start. */
-  private listWaiting(place: Placement, nowMs: number): readonly Job[] {
+  private listWaiting(placement: Placement, nowMs: number): readonly Job[] {
     const ranked: Array<{job: Job; rank: readonly number[]}> = [];
     for (const open of this.open.values()) {
       const {terms} = open;
-      if (!terms || place.getChoice(open).isSatisfied) continue;
+      if (!terms || placement.getChoice(open).isSatisfied) continue;
       for (const job of open.jobs.values()) {
         if (job.state !== 'waiting' || nowMs < job.notBeforeMs) continue;
-        if (this.cfg.isHeld?.(job)) continue;
-        const isNeeded = place.isNeeded(job);
+        if (this.cfg.isQuarantined?.(job)) continue;
+        const isNeeded = placement.isNeeded(job);
         ranked.push({job, rank: this.rankJob(job, terms, isNeeded)});
       }
     }
@@ -401,7 +402,7 @@
     const isStale =
       terms!.singleVersion &&
       job.transcript.listVersions().some(made => made !== version);
-    if (isStale || !job.transcript.isFit(terms!)) clearText(job);
+    if (isStale || !job.transcript.satisfies(terms!)) clearText(job);
     const run: Run = {
       id: `${this.cfg.runPrefix}-${this.nextRunNumber++}`,
       job,
@@ -418,47 +419,55 @@
   }
 
   /** Runs of groups that no trainer waits for, on engines that keep pace, longest first. */
-  private listSurplus(place: Placement, nowMs: number): readonly Run[] {
+  private listSurplus(placement: Placement, nowMs: number): readonly Run[] {
     return [...this.runs.values()]
       .filter(
         run =>
           isSettled(run, nowMs) &&
-          !place.slow.has(run.engineId) &&
-          !place.isNeeded(run.job),
+          !placement.slow.has(run.engineId) &&
+          !placement.isNeeded(run.job),
       )
-      .sort((a, b) => place.estimateRun(b) - place.estimateRun(a));
+      .sort((a, b) => placement.estimateRun(b) - placement.estimateRun(a));
   }
 
   /**
    * A needed item found no place: a surplus run that holds one makes way. Its
    * text is kept and it goes on later.
    */
-  private makeRoom(job: Job, surplus: Run[], place: Placement): void {
-    const at = surplus.findIndex(run => {
-      const engine = place.getEngine(run.engineId);
-      return engine !== undefined && place.canTake(engine, job);
+  private makeRoom(job: Job, surplus: Run[], placement: Placement): void {
+    const index = surplus.findIndex(run => {
+      const engine = placement.getEngine(run.engineId);
+      return engine !== undefined && placement.canTake(engine, job);
     });
-    if (at < 0) return;
-    const [run] = surplus.splice(at, 1);
+    if (index < 0) return;
+    const [run] = surplus.splice(index, 1);
     this.stop(run, 'made_room');
   }
 
   /** Moves runs from slow, leaving and loading engines to places that are free elsewhere. */
-  private moveRuns(place: Placement): void {
+  private moveRuns(placement: Placement): void {
     const moves: Array<{run: Run; reason: StopReason}> = [];
     for (const run of this.runs.values()) {
-      const reason = run.isStopping ? undefined : judgeEngine(run, place);
+      const reason = run.isStopping
+        ? undefined
+        : findMoveReason(run, placement);
       if (reason) moves.push({run, reason});
     }
     // The longest first: it has most to gain.
-    moves.sort((a, b) => place.estimateRun(b.run) - place.estimateRun(a.run));
+    moves.sort(
+      (a, b) => placement.estimateRun(b.run) - placement.estimateRun(a.run),
+    );
     for (const {run, reason} of moves) {
-      const target = place.pick(run.job);
-      if (!target || target.id === run.engineId || place.slow.has(target.id)) {
+      const target = placement.pickEngine(run.job);
+      if (
+        !target ||
+        target.id === run.engineId ||
+        placement.slow.has(target.id)
+      ) {
         continue;
       }
       // Taken for this run until it starts there at the next decision.
-      place.add(target.id, run.job);
+      placement.add(target.id, run.job);
       this.stop(run, reason);
     }
   }
@@ -468,18 +477,18 @@
    * sooner: places on fast engines become free as short items end, and a step is
    * as late as its longest item.
    */
-  private rebalance(place: Placement, nowMs: number): void {
+  private rebalance(placement: Placement, nowMs: number): void {
     if (nowMs - this.rebalancedMs < REBALANCE_MS) return;
     this.rebalancedMs = nowMs;
     const longest = [...this.runs.values()]
-      .filter(run => isSettled(run, nowMs) && place.isNeeded(run.job))
-      .sort((a, b) => place.estimateRun(b) - place.estimateRun(a))
+      .filter(run => isSettled(run, nowMs) && placement.isNeeded(run.job))
+      .sort((a, b) => placement.estimateRun(b) - placement.estimateRun(a))
       .slice(0, MAX_REBALANCED);
     for (const run of longest) {
-      const target = place.findFaster(run);
+      const target = placement.findFaster(run);
       if (!target) continue;
-      place.remove(run);
-      place.add(target.id, run.job);
+      placement.remove(run);
+      placement.add(target.id, run.job);
       this.stop(run, 'engine_outrun');
     }
   }
@@ -499,7 +508,7 @@
     const {job} = run;
     if (run.events > 0) return;
     job.earlyBreaks += 1;
-    this.board.noteUnreachable(run.engineId, nowMs);
+    this.engineHealth.recordUnreachable(run.engineId, nowMs);
     const hasText = job.transcript.events.length > 0;
     const limit = hasText ? MAX_EARLY_BREAKS_WITH_TEXT : MAX_EARLY_BREAKS;
     if (job.earlyBreaks < limit) return;
--- a/packages/core/src/batches/earlier_batches.ts
+++ b/packages/core/src/batches/earlier_batches.ts
@@ -7,21 +7,21 @@
  * come again in the next step, or in the one after it where steps are asked for
  * ahead.
  */
-export const KEPT_STEPS = 3;
+export const RETAINED_BATCHES = 3;
 
 /** Those of `known` that are over and share items with `entry`, the oldest first. */
-export function listEarlier(
+export function listEarlierBatches(
   entry: IndexedBatch,
-  known: readonly IndexedBatch[],
+  candidates: readonly IndexedBatch[],
 ): readonly IndexedBatch[] {
   const {model, submittedAtMs} = entry.header;
   const isBefore = ({header}: IndexedBatch) =>
     header.model === model && header.submittedAtMs < submittedAtMs;
   const itemIds = [...entry.items.keys()];
-  return known
+  return candidates
     .filter(earlier => isBefore(earlier) && isComplete(earlier))
     .sort((a, b) => a.header.submittedAtMs - b.header.submittedAtMs)
-    .slice(-KEPT_STEPS)
+    .slice(-RETAINED_BATCHES)
     .filter(({items}) => itemIds.some(id => items.has(id)));
 }
 
@@ -36,9 +36,9 @@
 /** By item of `entry`, those of `known` that failed; an item that comes again must not be run for ever. */
 export function countEarlierFailures(
   entry: IndexedBatch,
-  known: readonly IndexedBatch[],
+  candidates: readonly IndexedBatch[],
 ): ReadonlyMap<string, EarlierFailures> {
-  const earlier = known.filter(
+  const earlier = candidates.filter(
     other =>
       other !== entry &&
       other.header.submittedAtMs <= entry.header.submittedAtMs,
--- a/packages/core/src/batches/engine_board.ts
+++ b/packages/core/src/batches/engine_health.ts
@@ -1,6 +1,6 @@
 /** What the batch scheduler knows of each engine beyond the list's word. */
 
-import {SpeedBoard} from '../fleet/speed_board.js';
+import {SpeedTracker} from '../fleet/speed_tracker.js';
 
 /** An engine that may be given items; one that is leaving or gone is not listed. */
 export interface EngineView {
@@ -23,53 +23,53 @@
 const SILENT_PAUSE_MS = 1200;
 
 /** Failures in a row that are more than one lost connection. */
-const TROUBLED_FAILURES = 2;
+const FAILING_THRESHOLD = 2;
 
-interface Trouble {
+interface Outage {
   untilMs: number;
   failures: number;
 }
 
-export class EngineBoard {
-  readonly speeds = new SpeedBoard();
-  private readonly troubles = new Map<string, Trouble>();
+export class EngineHealth {
+  readonly speeds = new SpeedTracker();
+  private readonly outages = new Map<string, Outage>();
   private readonly refusals = new Map<string, number>();
 
   /** Whether `engineId` may be given an item of `model` now. */
-  isOpen(engineId: string, model: string, nowMs: number): boolean {
-    const untilMs = this.troubles.get(engineId)?.untilMs ?? -Infinity;
+  isAvailable(engineId: string, model: string, nowMs: number): boolean {
+    const untilMs = this.outages.get(engineId)?.untilMs ?? -Infinity;
     const refusedUntilMs = this.refusals.get(`${engineId} ${model}`);
     return nowMs >= untilMs && nowMs >= (refusedUntilMs ?? -Infinity);
   }
 
   /** Whether the last attempts at the engine failed for its own reasons. */
-  isTroubled(engineId: string): boolean {
-    return (this.troubles.get(engineId)?.failures ?? 0) >= TROUBLED_FAILURES;
+  isFailing(engineId: string): boolean {
+    return (this.outages.get(engineId)?.failures ?? 0) >= FAILING_THRESHOLD;
   }
 
-  noteEvent(engineId: string): void {
-    this.troubles.delete(engineId);
+  recordEvent(engineId: string): void {
+    this.outages.delete(engineId);
   }
 
-  noteRefusal(engineId: string, model: string, nowMs: number): void {
+  recordRefusal(engineId: string, model: string, nowMs: number): void {
     this.refusals.set(`${engineId} ${model}`, nowMs + REFUSED_PAUSE_MS);
   }
 
-  noteUnreachable(engineId: string, nowMs: number): void {
-    const failures = this.troubles.get(engineId)?.failures ?? 0;
+  recordUnreachable(engineId: string, nowMs: number): void {
+    const failures = this.outages.get(engineId)?.failures ?? 0;
     const pauseMs = Math.min(
       UNREACHABLE_PAUSE_MS * 2 ** failures,
       MAX_UNREACHABLE_PAUSE_MS,
     );
-    this.troubles.set(engineId, {
+    this.outages.set(engineId, {
       untilMs: nowMs + pauseMs,
       failures: failures + 1,
     });
   }
 
-  noteSilence(engineId: string, nowMs: number): void {
-    const failures = this.troubles.get(engineId)?.failures ?? 0;
-    this.troubles.set(engineId, {
+  recordSilence(engineId: string, nowMs: number): void {
+    const failures = this.outages.get(engineId)?.failures ?? 0;
+    this.outages.set(engineId, {
       untilMs: nowMs + SILENT_PAUSE_MS,
       failures: failures + 1,
     });
@@ -78,7 +78,7 @@
   /** The engine is another one now, or gone. */
   forget(engineId: string): void {
     this.speeds.forget(engineId);
-    this.troubles.delete(engineId);
+    this.outages.delete(engineId);
     for (const key of this.refusals.keys()) {
       if (key.startsWith(`${engineId} `)) this.refusals.delete(key);
     }
--- a/packages/core/src/batches/group_choice.ts
+++ b/packages/core/src/batches/group_choice.ts
@@ -24,7 +24,7 @@
 }
 
 /** A group that was chosen before counts as this much closer to its end, so that two about equal ones do not take each other's places by turns. */
-const CHOSEN_SHARE = 0.6;
+const CHOSEN_GROUP_FACTOR = 0.6;
 
 /** Chooses the groups of `open` to finish first, and remembers the choice there. */
 export function chooseGroups(
@@ -51,17 +51,19 @@
   const longest = new Map<string, number>();
   for (const job of open.jobs.values()) {
     const {group} = job.item;
-    const left = measureLeft(job, tokensPerEvent);
-    longest.set(group, Math.max(longest.get(group) ?? 0, left));
+    const tokensLeft = estimateTokensLeft(job, tokensPerEvent);
+    longest.set(group, Math.max(longest.get(group) ?? 0, tokensLeft));
   }
   return [...longest].map(([group, tokens]) => ({
     group,
-    longest: open.chosenGroups.has(group) ? tokens * CHOSEN_SHARE : tokens,
+    longest: open.chosenGroups.has(group)
+      ? tokens * CHOSEN_GROUP_FACTOR
+      : tokens,
     isCarried: open.carriedGroups.has(group),
   }));
 }
 
-function measureLeft(job: Job, tokensPerEvent: number): number {
+function estimateTokensLeft(job: Job, tokensPerEvent: number): number {
   const rewardTokens = job.item.reward ? REWARD_EVENTS * tokensPerEvent : 0;
   switch (job.state) {
     case 'finished':
--- a/packages/core/src/batches/job_outcomes.ts
+++ b/packages/core/src/batches/job_outcomes.ts
@@ -9,26 +9,26 @@
 import type {ListReason, ScheduleAction} from './schedule_action.js';
 
 /** Pause before an item that failed is tried again, ms; most failures of an engine pass within a few requests. */
-const REPEAT_PAUSE_MS = 50;
+const RETRY_PAUSE_MS = 50;
 
 /** Batches in which an item may fail for good; one that asks for it again gets that answer at once. */
-const MAX_BATCHES = 3;
+const MAX_FAILED_BATCHES = 3;
 
 export class JobOutcomes {
-  /** @param push Takes what the owner of the scheduler is to do. */
-  constructor(private readonly push: (action: ScheduleAction) => void) {}
+  /** @param emit Takes what the owner of the scheduler is to do. */
+  constructor(private readonly emit: (action: ScheduleAction) => void) {}
 
   /** The engine says that the text of `job` is whole. */
-  takeOutput(job: Job, nowMs: number): void {
+  onOutputComplete(job: Job, nowMs: number): void {
     const {terms} = job.batch;
     // A stream that ends well without one event is no output of a generation.
     if (job.transcript.events.length === 0) {
-      job.notBeforeMs = nowMs + REPEAT_PAUSE_MS;
+      job.notBeforeMs = nowMs + RETRY_PAUSE_MS;
       return;
     }
     // Weights can be older than the engine's last word said when it restarted
     // meanwhile; such a text is not used.
-    if (terms && !job.transcript.isFit(terms)) {
+    if (terms && !job.transcript.satisfies(terms)) {
       clearText(job);
       return;
     }
@@ -41,13 +41,13 @@
    * A text that the log or an earlier batch has in whole needs no engine. Says
    * whether there is one.
    */
-  takeKnownText(job: Job): boolean {
+  useStoredText(job: Job): boolean {
     const {terms} = job.batch;
     const isUsable =
       job.state === 'waiting' &&
-      job.transcript.isWhole &&
+      job.transcript.isComplete &&
       terms !== undefined &&
-      job.transcript.isFit(terms);
+      job.transcript.satisfies(terms);
     if (!isUsable) return false;
     if (job.item.reward) job.state = 'unscored';
     else this.listText(job, undefined, 'known_from_earlier_batch');
@@ -55,11 +55,11 @@
   }
 
   /** The reward call of `job` brought its score. */
-  takeScore(job: Job, score: string): void {
+  onScore(job: Job, score: string): void {
     if (job.state !== 'unscored') return;
     const {terms} = job.batch;
     // The route may ask for other weights than when the text was made.
-    if (terms && !job.transcript.isFit(terms)) {
+    if (terms && !job.transcript.satisfies(terms)) {
       clearText(job);
       job.state = 'waiting';
       return;
@@ -83,18 +83,18 @@
     job.failures += 1;
     const attempts = job.batch.terms?.attempts ?? 1;
     if (job.failures >= attempts) this.giveUp(job, 'attempts_used_up');
-    else job.notBeforeMs = nowMs + REPEAT_PAUSE_MS;
-    this.giveUpHopeless(job);
+    else job.notBeforeMs = nowMs + RETRY_PAUSE_MS;
+    this.giveUpRepeatedlyFailed(job);
   }
 
   /** An item that failed in one batch after the other is not run again. */
-  giveUpHopeless(job: Job): void {
-    const {batch, earlier} = job;
+  giveUpRepeatedlyFailed(job: Job): void {
+    const {batch, earlierFailures} = job;
     if (job.state !== 'waiting' || !batch.terms) return;
-    const most = batch.terms.attempts * MAX_BATCHES;
+    const maxFailures = batch.terms.attempts * MAX_FAILED_BATCHES;
     const isHopeless =
-      earlier.rejections >= MAX_BATCHES ||
-      earlier.failures + job.failures >= most;
+      earlierFailures.rejections >= MAX_FAILED_BATCHES ||
+      earlierFailures.failures + job.failures >= maxFailures;
     if (isHopeless) this.giveUp(job, 'failed_in_earlier_batches');
   }
 
@@ -141,7 +141,7 @@
   private list(job: Job, result: ItemResult, reason: ListReason): void {
     this.finish(job, result);
     const batchId = job.batch.batch.id;
-    this.push({kind: 'list', batchId, result, reason});
+    this.emit({kind: 'list', batchId, result, reason});
   }
 }
 
--- a/packages/core/src/batches/job_rules.ts
+++ b/packages/core/src/batches/job_rules.ts
@@ -13,7 +13,7 @@
 /** Drops the text of `job`; it begins anew. */
 export function clearText(job: Job): void {
   job.transcript.clear();
-  job.recorded = 0;
+  job.recordedEvents = 0;
 }
 
 /** The longer of what the log keeps and what an earlier batch made. */
@@ -30,17 +30,17 @@
 export function copyText(source: Transcript): Transcript {
   const copy = new Transcript();
   for (const event of source.events) copy.append(event);
-  if (source.isWhole) copy.finish();
+  if (source.isComplete) copy.finish();
   return copy;
 }
 
 /** Why `run` should not stay where it is, if it should not. */
-export function judgeEngine(
+export function findMoveReason(
   run: Run,
-  place: Placement,
+  placement: Placement,
 ): StopReason | undefined {
-  if (place.slow.has(run.engineId)) return 'engine_slow';
-  const engine = place.getEngine(run.engineId);
+  if (placement.slow.has(run.engineId)) return 'engine_slow';
+  const engine = placement.getEngine(run.engineId);
   if (!engine) return 'engine_draining';
   const {model} = run.job.batch.batch;
   // A load would stop the run for about a second; to go on elsewhere costs it
@@ -49,7 +49,7 @@
 }
 
 /** Why the items of `open` without a result are given up, if they are. */
-export function judgeOverdue(
+export function findGiveUpReason(
   open: OpenBatch,
   nowMs: number,
 ): ListReason | undefined {
--- a/packages/core/src/batches/placement.ts
+++ b/packages/core/src/batches/placement.ts
@@ -11,8 +11,8 @@
   type OpenBatch,
   type Run,
 } from './batch_job.js';
-import type {EngineBoard, EngineView} from './engine_board.js';
-import {crowd} from '../fleet/speed_board.js';
+import type {EngineHealth, EngineView} from './engine_health.js';
+import {computeCrowdingFactor} from '../fleet/speed_tracker.js';
 import {chooseGroups, type GroupChoice} from './group_choice.js';
 
 /** Share of an engine's memory that is planned with; estimates are often off, and a full memory restarts the newest run. */
@@ -53,11 +53,11 @@
   constructor(
     private readonly engines: ReadonlyMap<string, EngineView>,
     runs: Iterable<Run>,
-    private readonly board: EngineBoard,
+    private readonly engineHealth: EngineHealth,
     private readonly tokensPerEvent: number,
     private readonly nowMs: number,
   ) {
-    this.slow = board.speeds.listSlow(nowMs);
+    this.slow = engineHealth.speeds.listSlow(nowMs);
     for (const run of runs) this.add(run.engineId, run.job);
   }
 
@@ -81,10 +81,10 @@
   }
 
   /** The best engine with room for `job`, if there is one. */
-  pick(job: Job): EngineView | undefined {
+  pickEngine(job: Job): EngineView | undefined {
     let best: EngineView | undefined;
     let bestScore = Infinity;
-    const group = nameGroup(job);
+    const group = createGroupKey(job);
     for (const engine of this.listCandidates(job)) {
       const use: ReadonlyUse = this.uses.get(engine.id) ?? UNUSED;
       if (use.runs >= engine.slots) continue;
@@ -116,18 +116,18 @@
     if (engine.loading.has(batch.model)) return false;
     const version = engine.versions.get(batch.model);
     if (version === undefined || version < terms.minVersion) return false;
-    return this.board.isOpen(engine.id, batch.model, this.nowMs);
+    return this.engineHealth.isAvailable(engine.id, batch.model, this.nowMs);
   }
 
   /** Another engine on which `run` would end much sooner, if there is one. */
   findFaster(run: Run): EngineView | undefined {
-    const target = this.pick(run.job);
+    const target = this.pickEngine(run.job);
     if (!target || target.id === run.engineId) return undefined;
     const hereMs = this.predictGapMs(
       run.engineId,
-      this.open(run.engineId).runs,
+      this.getOrCreateUse(run.engineId).runs,
     );
-    const runsThere = this.open(target.id).runs + 1;
+    const runsThere = this.getOrCreateUse(target.id).runs + 1;
     const thereMs = this.predictGapMs(target.id, runsThere);
     const events = this.estimateRun(run) / this.tokensPerEvent;
     const savedMs = events * (hereMs - thereMs) - MOVE_MS;
@@ -137,8 +137,8 @@
 
   /** Counts `run` as no longer on its engine. */
   remove(run: Run): void {
-    const use = this.open(run.engineId);
-    const key = nameGroup(run.job);
+    const use = this.getOrCreateUse(run.engineId);
+    const key = createGroupKey(run.job);
     const left = (use.groups.get(key) ?? 0) - 1;
     use.runs -= 1;
     use.tokens -= estimateFootprint(run.job, this.tokensPerEvent);
@@ -150,8 +150,8 @@
 
   /** Counts `job` as running on the engine. */
   add(engineId: string, job: Job): void {
-    const use = this.open(engineId);
-    const key = nameGroup(job);
+    const use = this.getOrCreateUse(engineId);
+    const key = createGroupKey(job);
     use.runs += 1;
     use.tokens += estimateFootprint(job, this.tokensPerEvent);
     use.groups.set(key, (use.groups.get(key) ?? 0) + 1);
@@ -176,13 +176,13 @@
   /** Gap between the events of each of `runs` runs on an engine, ms. */
   private predictGapMs(engineId: string, runs: number): number {
     const penalty = this.slow.has(engineId) ? SLOW_PENALTY : 1;
-    return this.findPaceMs(engineId) * penalty * crowd(runs);
+    return this.getPaceMs(engineId) * penalty * computeCrowdingFactor(runs);
   }
 
-  private findPaceMs(engineId: string): number {
+  private getPaceMs(engineId: string): number {
     let paceMs = this.paces.get(engineId);
     if (paceMs === undefined) {
-      paceMs = this.board.speeds.predictGapMs(engineId, 1, this.nowMs);
+      paceMs = this.engineHealth.speeds.predictGapMs(engineId, 1, this.nowMs);
       this.paces.set(engineId, paceMs);
     }
     return paceMs;
@@ -194,7 +194,7 @@
     return use.tokens + tokens <= engine.kvTokens * MEMORY_SHARE;
   }
 
-  private open(engineId: string): EngineUse {
+  private getOrCreateUse(engineId: string): EngineUse {
     let use = this.uses.get(engineId);
     if (!use) {
       use = {runs: 0, tokens: 0, groups: new Map()};
@@ -204,6 +204,6 @@
   }
 }
 
-function nameGroup(job: Job): string {
+function createGroupKey(job: Job): string {
   return `${job.batch.batch.id} ${job.item.group}`;
 }
--- a/packages/core/src/batches/transcript.ts
+++ b/packages/core/src/batches/transcript.ts
@@ -3,7 +3,7 @@
 import type {OutputEvent} from './batch_record.js';
 
 /** What weights a text must have been made with. */
-export interface VersionDemand {
+export interface VersionRequirement {
   readonly minVersion: number;
   readonly singleVersion: boolean;
 }
@@ -13,27 +13,27 @@
  * Ids on the wire begin anywhere and rise by one.
  */
 export class Transcript {
-  private readonly kept: OutputEvent[] = [];
+  private readonly stored: OutputEvent[] = [];
   private isEnded = false;
 
   get events(): readonly OutputEvent[] {
-    return this.kept;
+    return this.stored;
   }
 
   /** Whether the text ends with the last event that is kept. */
-  get isWhole(): boolean {
+  get isComplete(): boolean {
     return this.isEnded;
   }
 
   get lastEventId(): number | undefined {
-    return this.kept.at(-1)?.id;
+    return this.stored.at(-1)?.id;
   }
 
   /** Adds `event` if it follows the last one; says whether it did. */
   append(event: OutputEvent): boolean {
     const last = this.lastEventId;
     if (last !== undefined && event.id !== last + 1) return false;
-    this.kept.push(event);
+    this.stored.push(event);
     this.isEnded = false;
     return true;
   }
@@ -55,46 +55,47 @@
   join(afterRun: string | undefined, events: readonly OutputEvent[]): boolean {
     const [first] = events;
     if (first === undefined) return true;
-    const keep = this.findJoint(afterRun, first.id);
-    if (keep === undefined) return false;
-    this.kept.length = keep;
+    const keptCount = this.countEventsBefore(afterRun, first.id);
+    if (keptCount === undefined) return false;
+    this.stored.length = keptCount;
     for (const event of events) this.append(event);
     return true;
   }
 
   /** How many events stand before one with `id` that follows `afterRun`. */
-  private findJoint(
+  private countEventsBefore(
     afterRun: string | undefined,
     id: number,
   ): number | undefined {
     if (afterRun === undefined) return 0;
-    const at = this.kept.findIndex(
+    const index = this.stored.findIndex(
       event => event.id === id - 1 && event.run === afterRun,
     );
-    return at < 0 ? undefined : at + 1;
+    return index < 0 ? undefined : index + 1;
   }
 
   /** Weight versions that made the events, ascending. */
   listVersions(): readonly number[] {
-    return [...new Set(this.kept.map(({version}) => version))].sort(
+    return [...new Set(this.stored.map(({version}) => version))].sort(
       (a, b) => a - b,
     );
   }
 
   /** The data of all events, separated by line feeds. */
   joinOutput(): string {
-    return this.kept.map(({data}) => data).join('\n');
+    return this.stored.map(({data}) => data).join('\n');
   }
 
   /** Whether the text may be used where `demand` holds. */
-  isFit(demand: VersionDemand): boolean {
+  satisfies(requirement: VersionRequirement): boolean {
     const versions = this.listVersions();
-    if (versions.some(version => version < demand.minVersion)) return false;
-    return !demand.singleVersion || versions.length <= 1;
+    if (versions.some(version => version < requirement.minVersion))
+      return false;
+    return !requirement.singleVersion || versions.length <= 1;
   }
 
   clear(): void {
-    this.kept.length = 0;
+    this.stored.length = 0;
     this.isEnded = false;
   }
 }
--- a/packages/core/src/batches/trim_marks.ts
+++ b/packages/core/src/batches/trim_tracker.ts
@@ -4,33 +4,38 @@
  * every append once it is full, whatever its own retention.
  */
 
-interface Mark {
+interface Sample {
   readonly offset: number;
   readonly atMs: number;
 }
 
 /** Marks are this part of the kept time apart. */
-const MARKS_KEPT = 6;
+const SAMPLES_PER_RETENTION = 6;
 
-export class TrimMarks {
+export class TrimTracker {
   /** The oldest first. */
-  private marks: Mark[] = [];
+  private samples: Sample[] = [];
 
-  /** @param keepMs How long records stay. */
-  constructor(private readonly keepMs: number) {}
+  /** @param retentionMs How long records stay. */
+  constructor(private readonly retentionMs: number) {}
 
   /**
    * Takes note that a record stands at `offset`; says before which offset all
    * records are older than the kept time, if that is news. Times are steady ms.
    */
-  note(offset: number, nowMs: number): number | undefined {
-    const last = this.marks.at(-1);
-    if (!last || nowMs - last.atMs >= this.keepMs / MARKS_KEPT) {
-      this.marks.push({offset, atMs: nowMs});
+  recordAppend(offset: number, nowMs: number): number | undefined {
+    const last = this.samples.at(-1);
+    if (
+      !last ||
+      nowMs - last.atMs >= this.retentionMs / SAMPLES_PER_RETENTION
+    ) {
+      this.samples.push({offset, atMs: nowMs});
     }
-    const old = this.marks.filter(({atMs}) => nowMs - atMs > this.keepMs);
+    const old = this.samples.filter(
+      ({atMs}) => nowMs - atMs > this.retentionMs,
+    );
     if (old.length === 0) return undefined;
-    this.marks = this.marks.slice(old.length);
+    this.samples = this.samples.slice(old.length);
     return old.at(-1)!.offset;
   }
 }
--- a/packages/core/src/crashes/recent_answers.ts
+++ b/packages/core/src/crashes/recent_answers.ts
@@ -5,7 +5,7 @@
  */
 
 /** An answer speaks for a request for this long, ms: one that has begun to crash endpoints since is not answered any more. */
-const TRUST_MS = 10_000;
+const ANSWER_VALIDITY_MS = 10_000;
 /** Requests that are kept, the last answered. */
 export const MAX_ANSWERED = 1000;
 
@@ -13,7 +13,7 @@
   /** Steady ms by fingerprint, the oldest first. */
   private readonly answeredMs = new Map<string, number>();
 
-  note(fingerprint: string, nowMs: number): void {
+  record(fingerprint: string, nowMs: number): void {
     this.answeredMs.delete(fingerprint);
     this.answeredMs.set(fingerprint, nowMs);
     if (this.answeredMs.size <= MAX_ANSWERED) return;
@@ -21,8 +21,8 @@
     this.answeredMs.delete(oldest);
   }
 
-  speaksFor(fingerprint: string, nowMs: number): boolean {
+  hasRecent(fingerprint: string, nowMs: number): boolean {
     const answeredMs = this.answeredMs.get(fingerprint) ?? -Infinity;
-    return nowMs - answeredMs <= TRUST_MS;
+    return nowMs - answeredMs <= ANSWER_VALIDITY_MS;
   }
 }
--- a/packages/core/src/fleet/__tests__/endpoint_roster.spec.ts
+++ b/packages/core/src/fleet/__tests__/endpoint_roster.spec.ts
@@ -14,7 +14,7 @@
     slots: 6,
     isDraining: false,
     models: [],
-    bornMs: 1000,
+    startedAtMs: 1000,
     sequence: 1,
     ...extra,
   };
@@ -46,7 +46,7 @@
 test('a restart under the same id begins anew, and its former life is over', t => {
   const roster = new EndpointRoster(GRACE_MS);
   roster.put(createEntry({sequence: 9, isDraining: true}), 1);
-  const reborn = createEntry({bornMs: 2000, sequence: 0});
+  const reborn = createEntry({startedAtMs: 2000, sequence: 0});
   t.is(roster.put(reborn, 2).kind, 'reborn');
   t.deepEqual(listIds(roster), ['e1']);
   t.is(roster.put(createEntry({sequence: 10}), 3).kind, 'stale');
--- a/packages/core/src/fleet/__tests__/load_pace.spec.ts
+++ b/packages/core/src/fleet/__tests__/load_limiter.spec.ts
@@ -1,5 +1,5 @@
 import test from 'ava';
-import {LoadPace} from '../load_pace.js';
+import {LoadLimiter} from '../load_limiter.js';
 
 const LOAD_MS = 900;
 const STEP_MS = 50;
@@ -8,13 +8,13 @@
 
 interface LoadPolicy {
   computeLimit(engineCount: number): number;
-  noteLoad: LoadPace['noteLoad'];
+  recordLoad: LoadLimiter['recordLoad'];
 }
 
 /** A fixed share of the engines loads, however long that takes. */
 const SHARE_POLICY: LoadPolicy = {
   computeLimit: engineCount => Math.max(2, Math.floor(engineCount * 0.29)),
-  noteLoad: () => undefined,
+  recordLoad: () => undefined,
 };
 
 interface FleetLoad {
@@ -49,7 +49,7 @@
     for (const {startedMs, leftMs} of loads) {
       if (leftMs > 0) continue;
       ended.push({startedMs, tookMs: endedMs - startedMs});
-      policy.noteLoad({startedMs, endedMs}, limit, loads.length >= limit);
+      policy.recordLoad({startedMs, endedMs}, limit, loads.length >= limit);
     }
     loads = loads.filter(({leftMs}) => leftMs > 0);
   }
@@ -71,39 +71,39 @@
 test('a version reaches enough engines of a large fleet in time', t => {
   const fleet = {engines: 1000, atOnce: 10};
   t.is(countInTime(playLoads(SHARE_POLICY, fleet, VERSION_MS)), 0);
-  t.true(countInTime(playLoads(new LoadPace(), fleet, VERSION_MS)) >= 35);
+  t.true(countInTime(playLoads(new LoadLimiter(), fleet, VERSION_MS)) >= 35);
 });
 
 test('loads are found to slow each other within a few versions, and are fewer then', t => {
   const fleet = {engines: 1000, atOnce: 12};
-  const loads = playLoads(new LoadPace(), fleet, 60_000);
+  const loads = playLoads(new LoadLimiter(), fleet, 60_000);
   t.true(findLongest(loads, 20_000) < 2 * LOAD_MS);
 });
 
 // Guards against a first number of loads at once that stays where more would do.
 test('a fleet that can load many at once does', t => {
   const fleet = {engines: 3000, atOnce: 200};
-  const pace = new LoadPace();
-  const loads = playLoads(pace, fleet, 8000);
-  t.true(pace.computeLimit(fleet.engines) >= 150);
+  const limiter = new LoadLimiter();
+  const loads = playLoads(limiter, fleet, 8000);
+  t.true(limiter.computeLimit(fleet.engines) >= 150);
   t.true(findLongest(loads, 0) < 2 * LOAD_MS);
 });
 
 // Guards against one load that seemed short, as its order was accepted before it was heard of, after which all others count as slow.
 test('one load that seems short does not keep a fleet from loading more at once', t => {
   const fleet = {engines: 3000, atOnce: 200};
-  const pace = new LoadPace();
-  const before = pace.computeLimit(fleet.engines);
-  pace.noteLoad({startedMs: 0, endedMs: LOAD_MS / 4}, before, true);
-  playLoads(pace, fleet, 8000);
-  t.true(pace.computeLimit(fleet.engines) >= 150);
+  const limiter = new LoadLimiter();
+  const before = limiter.computeLimit(fleet.engines);
+  limiter.recordLoad({startedMs: 0, endedMs: LOAD_MS / 4}, before, true);
+  playLoads(limiter, fleet, 8000);
+  t.true(limiter.computeLimit(fleet.engines) >= 150);
 });
 
 // Guards against a number that falls to a fraction of what is carried, as loads that began beside too many still end late.
 test('after too many loads at once about as many as are carried go on', t => {
   const fleet = {engines: 3000, atOnce: 60};
   for (let lengthMs = 10_000; lengthMs <= 30_000; lengthMs += 500) {
-    const played = new LoadPace();
+    const played = new LoadLimiter();
     playLoads(played, fleet, lengthMs);
     const limit = played.computeLimit(fleet.engines);
     t.true(limit >= 40, `${limit} at ${lengthMs} ms`);
@@ -117,27 +117,27 @@
     [31, 8],
     [34, 9],
   ]) {
-    const pace = new LoadPace();
-    playLoads(pace, {engines, atOnce}, 60_000);
-    t.is(pace.computeLimit(engines), atOnce);
+    const limiter = new LoadLimiter();
+    playLoads(limiter, {engines, atOnce}, 60_000);
+    t.is(limiter.computeLimit(engines), atOnce);
   }
 });
 
 // Guards against one slow engine that makes all others wait for their weights.
 test('one load in five that takes long changes nothing', t => {
-  const pace = new LoadPace();
-  const before = pace.computeLimit(34);
+  const limiter = new LoadLimiter();
+  const before = limiter.computeLimit(34);
   for (let i = 0; i < 200; i++) {
     const tookMs = i % 5 === 0 ? 4 * LOAD_MS : LOAD_MS;
-    pace.noteLoad({startedMs: i, endedMs: i + tookMs}, before, false);
+    limiter.recordLoad({startedMs: i, endedMs: i + tookMs}, before, false);
   }
-  t.is(pace.computeLimit(34), before);
+  t.is(limiter.computeLimit(34), before);
 });
 
 test('the length of loads that is expected follows them', t => {
-  const pace = new LoadPace();
+  const limiter = new LoadLimiter();
   for (let i = 0; i < 40; i++) {
-    pace.noteLoad({startedMs: i, endedMs: i + 400}, 2, true);
+    limiter.recordLoad({startedMs: i, endedMs: i + 400}, 2, true);
   }
-  t.true(Math.abs(pace.expectedMs - 400) < 10);
+  t.true(Math.abs(limiter.expectedMs - 400) < 10);
 });
--- a/packages/core/src/fleet/endpoint_entry.ts
+++ b/packages/core/src/fleet/endpoint_entry.ts
@@ -20,15 +20,18 @@
   /** Empty for plain services. */
   readonly models: readonly ModelVersion[];
   /** Unix ms of the start of this life, 0 where it is not told; an endpoint may restart under its id. */
-  readonly bornMs: number;
+  readonly startedAtMs: number;
   /** Counts the endpoint's writes in this life. */
   readonly sequence: number;
 }
 
 /** Whether `next` tells of the same life and place as `prev`. */
-export function isSameLife(prev: EndpointEntry, next: EndpointEntry): boolean {
+export function isSameIncarnation(
+  prev: EndpointEntry,
+  next: EndpointEntry,
+): boolean {
   return (
-    prev.bornMs === next.bornMs &&
+    prev.startedAtMs === next.startedAtMs &&
     prev.host === next.host &&
     prev.port === next.port
   );
--- a/packages/core/src/fleet/endpoint_roster.ts
+++ b/packages/core/src/fleet/endpoint_roster.ts
@@ -4,7 +4,7 @@
  * short while yet, since lists lose entries while their store is away.
  */
 
-import {type EndpointEntry, isSameLife} from './endpoint_entry.js';
+import {type EndpointEntry, isSameIncarnation} from './endpoint_entry.js';
 
 /** What an entry changed. */
 export type RosterChange =
@@ -46,14 +46,14 @@
       return {kind: entry.isDraining ? 'draining' : 'joined', entry};
     }
     if (isOutdated(known.entry, entry)) return {kind: 'stale', entry};
-    const isReborn = !isSameLife(known.entry, entry);
-    const wasDraining = known.entry.isDraining && !isReborn;
+    const isRestarted = !isSameIncarnation(known.entry, entry);
+    const wasDraining = known.entry.isDraining && !isRestarted;
     known.entry = entry;
     known.offset = offset;
     known.goneAtMs = undefined;
-    if (isReborn) return {kind: 'reborn', entry};
-    const isNews = entry.isDraining && !wasDraining;
-    return {kind: isNews ? 'draining' : 'updated', entry};
+    if (isRestarted) return {kind: 'reborn', entry};
+    const isNewlyDraining = entry.isDraining && !wasDraining;
+    return {kind: isNewlyDraining ? 'draining' : 'updated', entry};
   }
 
   /** Takes the removal of an entry that stands at `offset`. */
@@ -114,6 +114,7 @@
  * would send work to a worker that has left or to versions it no longer has.
  */
 function isOutdated(known: EndpointEntry, next: EndpointEntry): boolean {
-  if (next.bornMs !== known.bornMs) return next.bornMs < known.bornMs;
+  if (next.startedAtMs !== known.startedAtMs)
+    return next.startedAtMs < known.startedAtMs;
   return next.sequence < known.sequence;
 }
--- a/packages/core/src/fleet/load_pace.ts
+++ b/packages/core/src/fleet/load_limiter.ts
@@ -8,7 +8,7 @@
  * shrinks when they take much longer.
  */
 
-import {findLowerMiddle} from './lower_middle.js';
+import {findLowerMedian} from './lower_median.js';
 
 /** One load that has ended, in ms of the steady clock. */
 export interface EndedLoad {
@@ -17,17 +17,17 @@
 }
 
 /** Engines that load at once at most, as a share of all. */
-const MOST_SHARE = 0.29;
+const MAX_SHARE = 0.29;
 /** Engines that may load at once however few there are. */
-const FEWEST = 2;
+const MIN_AT_ONCE = 2;
 /** Engines that may load at once until loads have shown that more may; never fewer later, as a VM that is late itself takes all loads for slow. */
-const FIRST = 10;
+const INITIAL_AT_ONCE = 10;
 /** Loads that take this many times their best slow each other. */
-const SLOWED = 1.5;
+const SLOWDOWN_FACTOR = 1.5;
 /** Loads of which the middle one is judged, so that one slow engine, or one load that had begun before, does not count. */
-const JUDGED = 5;
+const SAMPLE_SIZE = 5;
 /** How long a load is taken to last until one was seen, ms. */
-const FIRST_LOAD_MS = 950;
+const INITIAL_LOAD_MS = 950;
 /** Bounds on what is learned of the length of loads, ms. */
 const MIN_LOAD_MS = 100;
 const MAX_LOAD_MS = 5000;
@@ -35,14 +35,14 @@
 const SMOOTHING = 0.25;
 
 /** Learns from the loads of one coordinator's term. */
-export class LoadPace {
-  private atOnce = FIRST;
-  private expectedLoadMs = FIRST_LOAD_MS;
+export class LoadLimiter {
+  private atOnce = INITIAL_AT_ONCE;
+  private expectedLoadMs = INITIAL_LOAD_MS;
   /** The least that a middle load of `JUDGED` took, ms. */
   private bestMs = MAX_LOAD_MS;
-  private judged: number[] = [];
+  private samples: number[] = [];
   /** Loads that began before this steady ms tell of a number that was given up. */
-  private judgedFromMs = -Infinity;
+  private sampledFromMs = -Infinity;
   private hasBeenSlowed = false;
 
   /** How long the next load should take, ms. */
@@ -52,27 +52,27 @@
 
   /** How many of `engineCount` engines may load at once. */
   computeLimit(engineCount: number): number {
-    const most = Math.floor(engineCount * MOST_SHARE);
-    return Math.max(FEWEST, Math.min(most, Math.floor(this.atOnce)));
+    const maxAtOnce = Math.floor(engineCount * MAX_SHARE);
+    return Math.max(MIN_AT_ONCE, Math.min(maxAtOnce, Math.floor(this.atOnce)));
   }
 
   /** A load has ended while `limit` engines might load at once, and as many did if `isFull`. */
-  noteLoad(
+  recordLoad(
     {startedMs, endedMs}: EndedLoad,
     limit: number,
     isFull: boolean,
   ): void {
     const tookMs = clampLoad(endedMs - startedMs);
     this.expectedLoadMs += (tookMs - this.expectedLoadMs) * SMOOTHING;
-    if (startedMs < this.judgedFromMs) return;
-    this.judged.push(tookMs);
-    if (this.judged.length < JUDGED) return;
-    const typicalMs = findLowerMiddle(this.judged)!;
-    this.judged = [];
+    if (startedMs < this.sampledFromMs) return;
+    this.samples.push(tookMs);
+    if (this.samples.length < SAMPLE_SIZE) return;
+    const typicalMs = findLowerMedian(this.samples)!;
+    this.samples = [];
     this.bestMs = Math.min(this.bestMs, typicalMs);
-    if (typicalMs > this.bestMs * SLOWED) {
+    if (typicalMs > this.bestMs * SLOWDOWN_FACTOR) {
       // Loads that began beside too many others end late as well.
-      this.judgedFromMs = endedMs + typicalMs;
+      this.sampledFromMs = endedMs + typicalMs;
       this.shrink(limit * (this.bestMs / typicalMs));
     } else if (isFull) {
       this.grow();
@@ -80,13 +80,13 @@
   }
 
   private shrink(atOnce: number): void {
-    this.atOnce = Math.max(FIRST, atOnce);
+    this.atOnce = Math.max(INITIAL_AT_ONCE, atOnce);
     this.hasBeenSlowed = true;
   }
 
   /** Doubles with each round of loads until they slow each other for the first time, then one by one. */
   private grow(): void {
-    this.atOnce += this.hasBeenSlowed ? JUDGED / this.atOnce : JUDGED;
+    this.atOnce += this.hasBeenSlowed ? SAMPLE_SIZE / this.atOnce : SAMPLE_SIZE;
   }
 }
 
--- a/packages/core/src/fleet/speed_board.ts
+++ b/packages/core/src/fleet/speed_tracker.ts
@@ -7,7 +7,7 @@
  * nature. So what is kept is the pace: the gap that a lone run would see.
  */
 
-import {findLowerMiddle} from './lower_middle.js';
+import {findLowerMedian} from './lower_median.js';
 
 interface Speed {
   /** Smoothed pace, ms an event. */
@@ -15,17 +15,17 @@
   samples: number;
   lastMs: number;
   /** Smallest smoothed pace that was seen: what the endpoint is like in health. */
-  usualMs: number;
+  bestMs: number;
 }
 
 /** Each run beside a run makes its events come this much later, as a share. */
-const CROWDING = 0.023;
+const SLOWDOWN_PER_RUN = 0.023;
 /** Weight of a new sample; about the last eight count. Follows a change within half a second at usual rates. */
 const SMOOTHING = 0.12;
 /** Fewer samples say nothing yet. */
 const MIN_SAMPLES = 6;
 /** A reading is trusted this long, ms; then the endpoint is given work again to tell. */
-const TRUST_MS = 4000;
+const READING_VALIDITY_MS = 4000;
 /** Slower than this multiple of the typical endpoint counts as slow. Endpoints differ by 1.3 by nature, slow ones by 3 and more. */
 const SLOW_FACTOR = 1.9;
 /** A slow endpoint counts as slow until it is back below this multiple; a bound for both directions would move work back and forth. */
@@ -33,11 +33,11 @@
 /** Pace of an endpoint that has shown nothing, with no other to compare, ms an event; only the proportion matters. */
 const UNKNOWN_PACE_MS = 40;
 /** The typical pace is worked out this often, ms; a decision follows each few ms. */
-const LOOK_MS = 50;
+const TYPICAL_REFRESH_MS = 50;
 /** A longer gap is a pause, such as a load of weights, and tells nothing of the speed, ms. The slowest engines seen make an event in 250. */
 const MAX_GAP_MS = 500;
 
-export class SpeedBoard {
+export class SpeedTracker {
   private readonly speeds = new Map<string, Speed>();
   private slow: ReadonlySet<string> = new Set();
   private typicalPaceMs: number | undefined;
@@ -45,13 +45,13 @@
   private typicalAtMs = -Infinity;
 
   /** Two events of one run came `gapMs` apart, with `runs` on the endpoint. */
-  note(endpointId: string, gapMs: number, runs: number, nowMs: number): void {
+  record(endpointId: string, gapMs: number, runs: number, nowMs: number): void {
     if (gapMs > MAX_GAP_MS) return;
-    const paceMs = gapMs / crowd(runs);
+    const paceMs = gapMs / computeCrowdingFactor(runs);
     const speed = this.speeds.get(endpointId);
-    if (!speed || nowMs - speed.lastMs > TRUST_MS) {
-      const usualMs = speed?.usualMs ?? Infinity;
-      const first = {paceMs, samples: 1, lastMs: nowMs, usualMs};
+    if (!speed || nowMs - speed.lastMs > READING_VALIDITY_MS) {
+      const bestMs = speed?.bestMs ?? Infinity;
+      const first = {paceMs, samples: 1, lastMs: nowMs, bestMs: bestMs};
       this.speeds.set(endpointId, first);
       return;
     }
@@ -59,7 +59,7 @@
     speed.samples += 1;
     speed.lastMs = nowMs;
     if (speed.samples < MIN_SAMPLES) return;
-    speed.usualMs = Math.min(speed.usualMs, speed.paceMs);
+    speed.bestMs = Math.min(speed.bestMs, speed.paceMs);
   }
 
   forget(endpointId: string): void {
@@ -72,15 +72,15 @@
    * else as it was at its best, since a hindrance may have passed meanwhile.
    */
   findPaceMs(endpointId: string, nowMs: number): number | undefined {
-    const usualMs = this.speeds.get(endpointId)?.usualMs ?? Infinity;
-    const knownMs = Number.isFinite(usualMs) ? usualMs : undefined;
-    return this.measurePaceMs(endpointId, nowMs) ?? knownMs;
+    const bestMs = this.speeds.get(endpointId)?.bestMs ?? Infinity;
+    const knownMs = Number.isFinite(bestMs) ? bestMs : undefined;
+    return this.getCurrentPaceMs(endpointId, nowMs) ?? knownMs;
   }
 
   /** Pace of a typical endpoint, for those that have shown nothing yet, ms an event. */
   findTypicalPaceMs(nowMs: number): number | undefined {
     // Asked for once for each endpoint that has shown nothing.
-    if (nowMs - this.typicalAtMs >= LOOK_MS) {
+    if (nowMs - this.typicalAtMs >= TYPICAL_REFRESH_MS) {
       this.typicalAtMs = nowMs;
       this.typicalPaceMs = this.computeTypicalPaceMs(nowMs);
     }
@@ -93,7 +93,7 @@
       const paceMs = this.findPaceMs(id, nowMs);
       if (paceMs !== undefined) paces.push(paceMs);
     }
-    return findLowerMiddle(paces);
+    return findLowerMedian(paces);
   }
 
   /** Gap between the events of each of `runs` runs on an endpoint, ms. */
@@ -102,17 +102,17 @@
       this.findPaceMs(endpointId, nowMs) ??
       this.findTypicalPaceMs(nowMs) ??
       UNKNOWN_PACE_MS;
-    return paceMs * crowd(runs);
+    return paceMs * computeCrowdingFactor(runs);
   }
 
   /** Endpoints that are much slower than the typical one. */
   listSlow(nowMs: number): ReadonlySet<string> {
     const paces = new Map<string, number>();
     for (const id of this.speeds.keys()) {
-      const paceMs = this.measurePaceMs(id, nowMs);
+      const paceMs = this.getCurrentPaceMs(id, nowMs);
       if (paceMs !== undefined) paces.set(id, paceMs);
     }
-    const typical = findLowerMiddle([...paces.values()]) ?? Infinity;
+    const typical = findLowerMedian([...paces.values()]) ?? Infinity;
     const slow = new Set<string>();
     for (const [id, paceMs] of paces) {
       const factor = this.slow.has(id) ? RECOVERED_FACTOR : SLOW_FACTOR;
@@ -123,14 +123,19 @@
   }
 
   /** Smoothed pace, or undefined where nothing recent is known. */
-  private measurePaceMs(endpointId: string, nowMs: number): number | undefined {
+  private getCurrentPaceMs(
+    endpointId: string,
+    nowMs: number,
+  ): number | undefined {
     const speed = this.speeds.get(endpointId);
     if (!speed || speed.samples < MIN_SAMPLES) return undefined;
-    return nowMs - speed.lastMs > TRUST_MS ? undefined : speed.paceMs;
+    return nowMs - speed.lastMs > READING_VALIDITY_MS
+      ? undefined
+      : speed.paceMs;
   }
 }
 
 /** How many times a lone run's gap one of `runs` runs sees. */
-export function crowd(runs: number): number {
-  return 1 + CROWDING * Math.max(runs - 1, 0);
+export function computeCrowdingFactor(runs: number): number {
+  return 1 + SLOWDOWN_PER_RUN * Math.max(runs - 1, 0);
 }
--- a/packages/core/src/leases/__tests__/log_lease.spec.ts
+++ b/packages/core/src/leases/__tests__/log_lease.spec.ts
@@ -4,7 +4,7 @@
 
 const TIMING: LeaseTiming = {
   renewMs: 400,
-  trustMs: 1300,
+  validityMs: 1300,
   silenceMs: 1600,
   orderWindowMs: 500,
 };
@@ -22,8 +22,8 @@
   };
 }
 
-function createLease(self: string, patienceMs = 0): LogLease {
-  return new LogLease(self, TIMING, patienceMs, 0);
+function createLease(self: string, claimDelayMs = 0): LogLease {
+  return new LogLease(self, TIMING, claimDelayMs, 0);
 }
 
 test('the first claim stands and its offset is the token', t => {
@@ -36,7 +36,7 @@
     at: 0,
   });
   t.is(lease.decide(1700, 1700).kind, 'none', 'one append at a time');
-  lease.noteAppended({kind: 'claim', holder: 'a', atMs: 0}, 0, 1610);
+  lease.onAppended({kind: 'claim', holder: 'a', atMs: 0}, 0, 1610);
   t.is(lease.fencingToken, 1);
   t.true(lease.isHeld(1600 + 1299));
   t.false(lease.isHeld(1600 + 1300), 'counted from before the claim was sent');
@@ -50,7 +50,7 @@
   const lease = createLease('a');
   t.is(lease.decide(1600, 1600, {mayClaim: false}).kind, 'none');
   t.is(lease.decide(1700, 1700, {mayClaim: true}).kind, 'append');
-  lease.noteAppended({kind: 'claim', holder: 'a', atMs: 0}, 0, 1710);
+  lease.onAppended({kind: 'claim', holder: 'a', atMs: 0}, 0, 1710);
   const {kind} = lease.decide(2200, 2200, {mayClaim: false});
   t.is(kind, 'append', 'a holder goes on to renew');
 });
@@ -61,7 +61,7 @@
   lease.observe({kind: 'release', holder: 'a', atMs: 0}, 1, 100);
   t.is(lease.decide(129, 129).kind, 'none');
   t.is(lease.decide(130, 130).kind, 'append');
-  lease.noteAppended({kind: 'claim', holder: 'b', atMs: 0}, 2, 140);
+  lease.onAppended({kind: 'claim', holder: 'b', atMs: 0}, 2, 140);
   t.true(lease.isHandedOver);
   lease.observe({kind: 'claim', holder: 'c', atMs: 0}, 3, 9000);
   t.false(lease.isHandedOver, 'taken over without a release');
@@ -74,12 +74,12 @@
 test('a claim that was carried out late gives no trust until it is renewed', t => {
   const lease = createLease('a');
   lease.decide(1600, 1600);
-  lease.noteNotAppended();
+  lease.onAppendFailed();
   lease.observe({kind: 'claim', holder: 'a', atMs: 0}, 0, 6000);
-  t.true(lease.isNamed());
+  t.true(lease.isNamedHolder());
   t.false(lease.isHeld(6000));
   lease.decide(6000, 6000);
-  lease.noteAppended({kind: 'renewal', holder: 'a', atMs: 0}, 1, 6010);
+  lease.onAppended({kind: 'renewal', holder: 'a', atMs: 0}, 1, 6010);
   t.true(lease.isHeld(6010));
 });
 
@@ -91,7 +91,7 @@
   const start = (unixNowMs: number) => {
     const lease = new LogLease('b', TIMING, 0, 0);
     lease.observe({kind: 'renewal', holder: 'a', atMs: 10_000}, 0, 0);
-    lease.noteStart(0, unixNowMs);
+    lease.onCaughtUp(0, unixNowMs);
     return lease;
   };
   t.is(start(12_000).decide(0, 12_000).kind, 'append');
@@ -113,7 +113,7 @@
   lease.observe({...CLAIM, holder: 'a'}, 0, 0);
   lease.observe({...ORDER, holder: 'a', engines: ['e1']}, 1, 400);
   lease.decide(2000, 2000);
-  lease.noteAppended({...CLAIM, holder: 'b'}, 2, 2010);
+  lease.onAppended({...CLAIM, holder: 'b'}, 2, 2010);
   t.is(lease.measureQuietMs('e1', 2010), 2010 - 400 - TIMING.orderWindowMs);
   t.is(lease.measureQuietMs('e2', 2010), Infinity);
 });
@@ -127,8 +127,8 @@
   lease.observe({kind: 'claim', holder: 'a', atMs: 0}, 0, 0);
   lease.observe({kind: 'renewal', holder: 'a', atMs: 0}, 1, 400);
   lease.decide(400 + TIMING.silenceMs, 0);
-  lease.noteAppended({...CLAIM, holder: 'b'}, 2, 2010);
-  t.is(lease.measureQuietMs('e1', 2010), 2010 - (400 + TIMING.trustMs));
+  lease.onAppended({...CLAIM, holder: 'b'}, 2, 2010);
+  t.is(lease.measureQuietMs('e1', 2010), 2010 - (400 + TIMING.validityMs));
 });
 
 // Two VMs give orders to one engine within a lease.
@@ -139,10 +139,10 @@
 test('a clock that is ahead shortens nothing that an order waits for', t => {
   const lease = createLease('b');
   lease.observe({kind: 'renewal', holder: 'a', atMs: 0}, 0, 100);
-  lease.noteStart(100, 60_000);
+  lease.onCaughtUp(100, 60_000);
   lease.decide(100, 60_000);
-  lease.noteAppended({...CLAIM, holder: 'b', atMs: 60_000}, 1, 110);
-  t.is(lease.measureQuietMs('e1', 100 + TIMING.trustMs + 500), 500);
+  lease.onAppended({...CLAIM, holder: 'b', atMs: 60_000}, 1, 110);
+  t.is(lease.measureQuietMs('e1', 100 + TIMING.validityMs + 500), 500);
 });
 
 // No engine loads new weights for seconds after all VMs lost power.
@@ -165,19 +165,19 @@
 test('after a gap any engine may have been ordered', t => {
   const lease = createLease('b');
   lease.observe({...CLAIM, holder: 'a'}, 0, 0);
-  lease.noteGap(5000);
+  lease.onGap(5000);
   t.is(lease.measureQuietMs('e1', 6000), 1000 - TIMING.orderWindowMs);
 });
 
 test('an order is covered once its announcement stands, and for a while only', t => {
   const lease = createLease('a');
   lease.decide(1600, 1600);
-  lease.noteAppended({...CLAIM, holder: 'a'}, 0, 1610);
+  lease.onAppended({...CLAIM, holder: 'a'}, 0, 1610);
   t.false(lease.isAnnounced('e1', 1620));
   const action = lease.decide(1620, 1620, {engines: ['e1']});
   t.like(action, {kind: 'append', record: {kind: 'order', engines: ['e1']}});
   t.false(lease.isAnnounced('e1', 1625));
-  lease.noteAppended({...ORDER, holder: 'a', engines: ['e1']}, 1, 1630);
+  lease.onAppended({...ORDER, holder: 'a', engines: ['e1']}, 1, 1630);
   t.true(lease.isAnnounced('e1', 1620 + TIMING.orderWindowMs - 1));
   t.false(lease.isAnnounced('e1', 1620 + TIMING.orderWindowMs));
   t.false(lease.isAnnounced('e2', 1630));
@@ -225,10 +225,10 @@
           const offset =
             event === 'decide_late' ? undefined : partition.append(record, at);
           if (event === 'decide' && offset !== undefined) {
-            lease.noteAppended(record, offset, nowMs);
+            lease.onAppended(record, offset, nowMs);
             nextRead[vm] = Math.max(nextRead[vm], offset + 1);
           } else {
-            lease.noteNotAppended();
+            lease.onAppendFailed();
           }
         }
         const holders = leases.filter(each => each.isHeld(nowMs));
@@ -257,14 +257,14 @@
 const TICK_MS = 100;
 
 /** A time in which something is wrong with one VM, in ticks. */
-const trouble = fc.record({
+const fault = fc.record({
   vm: fc.nat(2),
   kind: fc.constantFrom('cut', 'answers_lost', 'reads_late'),
   from: fc.nat(300),
   ticks: fc.integer({min: 1, max: 60}),
 });
 
-interface Trouble {
+interface Fault {
   readonly vm: number;
   readonly kind: string;
   readonly from: number;
@@ -272,12 +272,12 @@
 }
 
 /** Three VMs over one partition, with the orders that they give. */
-function createCluster(troubles: readonly Trouble[]) {
+function createCluster(faults: readonly Fault[]) {
   const partition = createPartition();
   const leases = ['a', 'b', 'c'].map((name, i) => createLease(name, i * 50));
   const nextRead = [0, 0, 0];
   const isIn = (vm: number, kind: string, tick: number) =>
-    troubles.some(
+    faults.some(
       t =>
         t.vm === vm &&
         t.kind === kind &&
@@ -297,9 +297,9 @@
       ? undefined
       : partition.append(action.record, action.at);
     if (offset === undefined || isIn(vm, 'answers_lost', tick)) {
-      leases[vm].noteNotAppended();
+      leases[vm].onAppendFailed();
     } else {
-      leases[vm].noteAppended(action.record, offset, nowMs);
+      leases[vm].onAppended(action.record, offset, nowMs);
     }
   };
   return {
@@ -322,8 +322,8 @@
 test('orders of two holders are a lease apart, whoever is cut, late or hears no answer', t => {
   let changes = 0;
   fc.assert(
-    fc.property(fc.array(trouble, {maxLength: 12}), troubles => {
-      const cluster = createCluster(troubles);
+    fc.property(fc.array(fault, {maxLength: 12}), faults => {
+      const cluster = createCluster(faults);
       let last: {readonly holder: string; readonly atMs: number} | undefined;
       for (let tick = 0; tick < 400; tick++) {
         cluster.step(tick);
--- a/packages/core/src/leases/log_lease.ts
+++ b/packages/core/src/leases/log_lease.ts
@@ -8,7 +8,7 @@
  * the owner of this object calls `distrust` when it finds that it did.
  */
 
-import {OrderMarks} from './order_marks.js';
+import {OrderHistory} from './order_history.js';
 
 /** One record of the lease's partition. */
 export interface LeaseRecord {
@@ -28,7 +28,7 @@
   /** Between renewals, ms. */
   readonly renewMs: number;
   /** The holder trusts its lease this long from before it sent a renewal, ms. */
-  readonly trustMs: number;
+  readonly validityMs: number;
   /** Others claim after this long without a record, ms. More than `trustMs`. */
   readonly silenceMs: number;
   /** An order that was announced is given within this time from before the announcement was sent, and has arrived by then or never does, ms. */
@@ -46,7 +46,7 @@
     };
 
 /** What a VM wants of the lease now. */
-export interface LeaseWish {
+export interface LeaseRequest {
   /**
    * Whether the VM can do a holder's work.
    *
@@ -67,8 +67,8 @@
   private nextOffset = 0;
   /** Steady ms from which silence counts. */
   private lastRecordMs: number;
-  private trustedUntilMs = -Infinity;
-  private readonly marks: OrderMarks;
+  private validUntilMs = -Infinity;
+  private readonly orderHistory: OrderHistory;
   /** Steady ms before which own orders to an engine are covered by an announcement. */
   private readonly announcedUntilMs = new Map<string, number>();
   private isReleased = false;
@@ -79,17 +79,17 @@
 
   /**
    * @param self Name of this process in records.
-   * @param patienceMs Added to the silence that this VM waits for; differs
+   * @param claimDelayMs Added to the silence that this VM waits for; differs
    *     between VMs so that they do not all claim at once.
    */
   constructor(
     readonly self: string,
     private readonly timing: LeaseTiming,
-    private readonly patienceMs: number,
+    private readonly claimDelayMs: number,
     nowMs: number,
   ) {
     this.lastRecordMs = nowMs;
-    this.marks = new OrderMarks(timing.renewMs);
+    this.orderHistory = new OrderHistory(timing.renewMs);
   }
 
   /** Token of the present term; meaningful while `isHeld`. */
@@ -104,11 +104,11 @@
 
   /** Whether this process may act as the holder. */
   isHeld(nowMs: number): boolean {
-    return this.holder === this.self && nowMs < this.trustedUntilMs;
+    return this.holder === this.self && nowMs < this.validUntilMs;
   }
 
   /** Whether the log names this process, even if it can not be sure any more. */
-  isNamed(): boolean {
+  isNamedHolder(): boolean {
     return this.holder === this.self;
   }
 
@@ -119,7 +119,7 @@
 
   /** How long no other holder has given orders to the engine, ms; negative while one still may. */
   measureQuietMs(engineId: string, nowMs: number): number {
-    return this.marks.measureQuietMs(engineId, nowMs);
+    return this.orderHistory.measureQuietMs(engineId, nowMs);
   }
 
   /**
@@ -135,8 +135,8 @@
   }
 
   /** Records were lost before they were read here. */
-  noteGap(nowMs: number): void {
-    this.marks.noteUnknown(this.timing.orderWindowMs, nowMs);
+  onGap(nowMs: number): void {
+    this.orderHistory.recordUnknown(this.timing.orderWindowMs, nowMs);
   }
 
   /** Takes the next record that was read; one that is known already says nothing. */
@@ -145,7 +145,7 @@
     this.nextOffset = offset + 1;
     this.lastRecordMs = nowMs;
     this.lastWrittenUnixMs = record.atMs;
-    if (record.holder !== this.self) this.markOrders(record, nowMs);
+    if (record.holder !== this.self) this.recordOrders(record, nowMs);
     switch (record.kind) {
       case 'claim':
         this.holder = record.holder;
@@ -154,7 +154,7 @@
         this.isReleased = false;
         break;
       case 'renewal':
-        this.marks.noteRenewal();
+        this.orderHistory.recordRenewal();
         break;
       case 'order':
         break;
@@ -167,18 +167,19 @@
     }
   }
 
-  private markOrders(record: LeaseRecord, nowMs: number): void {
-    const {orderWindowMs, trustMs} = this.timing;
+  private recordOrders(record: LeaseRecord, nowMs: number): void {
+    const {orderWindowMs, validityMs} = this.timing;
     const {kind, engines, announcesOrders} = record;
     if (kind === 'release') return;
     // A holder of an earlier version of the program orders while it trusts its
     // lease, which it does for this long from each of its records.
-    if (!announcesOrders) this.marks.noteUnknown(trustMs, nowMs);
-    else if (engines) this.marks.noteOrders(engines, orderWindowMs, nowMs);
+    if (!announcesOrders) this.orderHistory.recordUnknown(validityMs, nowMs);
+    else if (engines)
+      this.orderHistory.recordOrders(engines, orderWindowMs, nowMs);
   }
 
   /** Reads failed until now: silence counts from here. */
-  noteContact(nowMs: number): void {
+  onReadSucceeded(nowMs: number): void {
     this.lastRecordMs = Math.max(this.lastRecordMs, nowMs);
   }
 
@@ -191,22 +192,22 @@
    * clock that is wrong at worst costs a holder its term: what it trusts and
    * when it gives orders does not depend on the time of day.
    */
-  noteStart(nowMs: number, unixNowMs: number): void {
+  onCaughtUp(nowMs: number, unixNowMs: number): void {
     const agedMs = unixNowMs - this.lastWrittenUnixMs;
     const silentMs = Math.min(Math.max(agedMs, 0), this.timing.silenceMs);
     this.lastRecordMs = nowMs - silentMs;
   }
 
   /** Gives up all trust in the lease until it is renewed. */
-  distrust(): void {
-    this.trustedUntilMs = -Infinity;
+  invalidate(): void {
+    this.validUntilMs = -Infinity;
   }
 
   /** Says what to append now, if anything. */
   decide(
     nowMs: number,
     unixNowMs: number,
-    {mayClaim = true, engines = []}: LeaseWish = {},
+    {mayClaim = true, engines = []}: LeaseRequest = {},
   ): LeaseAction {
     if (this.inFlight) return NO_ACTION;
     if (this.holder === this.self) {
@@ -216,12 +217,12 @@
     }
     if (!mayClaim) return NO_ACTION;
     const silentMs = nowMs - this.lastRecordMs;
-    if (silentMs < this.timing.silenceMs + this.patienceMs) return NO_ACTION;
+    if (silentMs < this.timing.silenceMs + this.claimDelayMs) return NO_ACTION;
     return this.send('claim', nowMs, unixNowMs);
   }
 
   /** The append that `decide` asked for stands at `offset`. */
-  noteAppended(record: LeaseRecord, offset: number, nowMs: number): void {
+  onAppended(record: LeaseRecord, offset: number, nowMs: number): void {
     const sentMs = this.inFlight?.sentMs ?? -Infinity;
     this.inFlight = undefined;
     // A renewal may stand right behind the claim of another holder that was
@@ -229,7 +230,7 @@
     // that out: what was read so far is all there is.
     this.observe(record, offset, nowMs);
     if (this.holder === this.self) {
-      this.trustedUntilMs = sentMs + this.timing.trustMs;
+      this.validUntilMs = sentMs + this.timing.validityMs;
       const untilMs = sentMs + this.timing.orderWindowMs;
       for (const id of record.engines ?? []) {
         this.announcedUntilMs.set(id, untilMs);
@@ -238,7 +239,7 @@
   }
 
   /** The append failed or its outcome is unknown; reading tells. */
-  noteNotAppended(): void {
+  onAppendFailed(): void {
     this.inFlight = undefined;
   }
 
--- a/packages/core/src/leases/order_marks.ts
+++ b/packages/core/src/leases/order_history.ts
@@ -6,7 +6,7 @@
  */
 
 /** A moment up to which orders may have been given. */
-interface OrderMark {
+interface HistoryEntry {
   /** Steady ms at which it was read here. */
   readonly readMs: number;
   /** How long after that an order may still have arrived, ms. */
@@ -15,31 +15,31 @@
   readonly renewals: number;
 }
 
-export class OrderMarks {
-  private readonly byEngine = new Map<string, OrderMark>();
+export class OrderHistory {
+  private readonly byEngine = new Map<string, HistoryEntry>();
   /** Stands for all engines. */
-  private all: OrderMark | undefined;
+  private allEngines: HistoryEntry | undefined;
   private renewals = 0;
 
   /** @param renewMs Least time between a holder's renewal and its record before, ms. */
   constructor(private readonly renewMs: number) {}
 
   /** A holder wrote that it is about to order `engines`, within `windowMs`. */
-  noteOrders(
+  recordOrders(
     engines: readonly string[],
     windowMs: number,
     nowMs: number,
   ): void {
-    const mark = this.createMark(windowMs, nowMs);
-    for (const id of engines) this.byEngine.set(id, mark);
+    const entry = this.createEntry(windowMs, nowMs);
+    for (const id of engines) this.byEngine.set(id, entry);
   }
 
   /** Any engine may have been ordered until `windowMs` from now, without a word in the log. */
-  noteUnknown(windowMs: number, nowMs: number): void {
-    this.all = this.createMark(windowMs, nowMs);
+  recordUnknown(windowMs: number, nowMs: number): void {
+    this.allEngines = this.createEntry(windowMs, nowMs);
   }
 
-  noteRenewal(): void {
+  recordRenewal(): void {
     this.renewals += 1;
   }
 
@@ -47,7 +47,7 @@
   measureQuietMs(engineId: string, nowMs: number): number {
     return Math.min(
       this.measureAgeMs(this.byEngine.get(engineId), nowMs),
-      this.measureAgeMs(this.all, nowMs),
+      this.measureAgeMs(this.allEngines, nowMs),
     );
   }
 
@@ -56,13 +56,13 @@
    * behind it took their time: after all VMs lost power, engines that were
    * ordered seconds before are free at once.
    */
-  private measureAgeMs(mark: OrderMark | undefined, nowMs: number): number {
-    if (!mark) return Infinity;
-    const renewedMs = (this.renewals - mark.renewals) * this.renewMs;
-    return Math.max(nowMs - mark.readMs, renewedMs) - mark.windowMs;
+  private measureAgeMs(entry: HistoryEntry | undefined, nowMs: number): number {
+    if (!entry) return Infinity;
+    const renewedMs = (this.renewals - entry.renewals) * this.renewMs;
+    return Math.max(nowMs - entry.readMs, renewedMs) - entry.windowMs;
   }
 
-  private createMark(windowMs: number, nowMs: number): OrderMark {
+  private createEntry(windowMs: number, nowMs: number): HistoryEntry {
     return {readMs: nowMs, windowMs, renewals: this.renewals};
   }
 }
--- a/packages/core/src/rewards/__tests__/reward_fixtures.ts
+++ b/packages/core/src/rewards/__tests__/reward_fixtures.ts
@@ -10,7 +10,7 @@
   listStarts,
 } from '../../batches/__tests__/batch_fixtures.js';
 import type {EndpointCandidate} from '../../routing/endpoint_choice.js';
-import type {RewardAction, RewardCall} from '../reward_desk.js';
+import type {RewardAction, RewardCall} from '../reward_scheduler.js';
 
 export function createRewardItem(id: string) {
   const reward = {
@@ -38,8 +38,8 @@
     /** The text of an item becomes whole. */
     finish(id: string): void {
       const run = runs.find(({job}) => job.item.id === id)!;
-      scheduler.noteEvent(run, createEvent(1, run.id), 10);
-      scheduler.noteEnd(run, 'finished', 20);
+      scheduler.onEvent(run, createEvent(1, run.id), 10);
+      scheduler.onRunEnd(run, 'finished', 20);
     },
   };
 }
--- a/packages/core/src/rewards/__tests__/reward_order.spec.ts
+++ b/packages/core/src/rewards/__tests__/reward_order.spec.ts
@@ -22,7 +22,7 @@
   finish('g0a');
   t.deepEqual(listResults(scheduler), []);
   const [job] = scheduler.listUnscored();
-  scheduler.noteScore(job, 'proof');
+  scheduler.onScore(job, 'proof');
   t.like(listResults(scheduler), [
     {state: 'done', output: '1', score: 'proof'},
   ]);
@@ -41,8 +41,8 @@
   open(createBatch('b1', [], {items: small, groupsWanted: 2}), later);
   open(createBatch('b0', [], {items: large, groupsWanted: 1}));
   for (const run of listStarts(scheduler.decide(0))) {
-    scheduler.noteEvent(run, createEvent(1, run.id), 10);
-    scheduler.noteEnd(run, 'finished', 20);
+    scheduler.onEvent(run, createEvent(1, run.id), 10);
+    scheduler.onRunEnd(run, 'finished', 20);
   }
   const order = scheduler.listUnscored().map(({item}) => item.id);
   t.deepEqual(order, ['g0a', 'g0b', 'g0c', 'g0d', 'h0a', 'h1a']);
@@ -52,9 +52,9 @@
   const {scheduler, finish} = createRewardSchedule(['g0a']);
   finish('g0a');
   const [job] = scheduler.listUnscored();
-  scheduler.noteRewardFailure(job, 2);
+  scheduler.onRewardFailure(job, 2);
   t.deepEqual(listResults(scheduler), []);
-  scheduler.noteRewardFailure(job, 2);
+  scheduler.onRewardFailure(job, 2);
   t.like(listResults(scheduler), [{state: 'errored'}]);
 });
 
@@ -85,7 +85,7 @@
 test('a score is used again only for the same call', t => {
   const {scheduler, log, finish} = createRewardSchedule(['g0a', 'g0b']);
   for (const id of ['g0a', 'g0b']) finish(id);
-  for (const job of scheduler.listUnscored()) scheduler.noteScore(job, 'proof');
+  for (const job of scheduler.listUnscored()) scheduler.onScore(job, 'proof');
   scheduler.decide(100);
   const other = createRewardItem('g0b');
   const batch = createBatch('b1', [], {
--- a/packages/core/src/rewards/__tests__/reward_desk.spec.ts
+++ b/packages/core/src/rewards/__tests__/reward_scheduler.spec.ts
@@ -1,7 +1,7 @@
 import test from 'ava';
 import type {Job} from '../../batches/batch_job.js';
 import type {EndpointCandidate} from '../../routing/endpoint_choice.js';
-import {RewardDesk} from '../reward_desk.js';
+import {RewardScheduler} from '../reward_scheduler.js';
 import {
   createChoice,
   createUnscored,
@@ -9,11 +9,11 @@
   listCancelled,
 } from './reward_fixtures.js';
 
-function createDesk(endpoints: readonly EndpointCandidate[]) {
-  const desk = new RewardDesk('dc');
+function createScheduler(endpoints: readonly EndpointCandidate[]) {
+  const scheduler = new RewardScheduler('dc');
   const decide = (jobs: readonly Job[], nowMs: number) =>
-    desk.decide(jobs, () => ({endpoints}), nowMs, 0);
-  return {desk, decide};
+    scheduler.decide(jobs, () => ({endpoints}), nowMs, 0);
+  return {scheduler: scheduler, decide};
 }
 
 // An app's users wait while a step is scored.
@@ -22,7 +22,7 @@
 // Cause: reward calls in all slots of all endpoints.
 test('a burst of calls spreads and leaves slots to other requests', t => {
   const ids = Array.from({length: 30}, (_, i) => `g0-${i}`);
-  const {decide} = createDesk([createChoice('a1'), createChoice('a2')]);
+  const {decide} = createScheduler([createChoice('a1'), createChoice('a2')]);
   const calls = listCalls(decide(createUnscored(ids), 0));
   const at = (id: string) => calls.filter(c => c.endpointId === id).length;
   t.is(at('a1'), 4);
@@ -30,12 +30,12 @@
 });
 
 test('an endpoint with one slot still gets calls', t => {
-  const {decide} = createDesk([createChoice('a1', {slots: 1})]);
+  const {decide} = createScheduler([createChoice('a1', {slots: 1})]);
   t.is(listCalls(decide(createUnscored(['g0a', 'g0b']), 0)).length, 1);
 });
 
 test('a call that takes too long gets a second one elsewhere, and no third', t => {
-  const {decide} = createDesk([createChoice('a1'), createChoice('a2')]);
+  const {decide} = createScheduler([createChoice('a1'), createChoice('a2')]);
   const jobs = createUnscored(['g0a']);
   const [first] = listCalls(decide(jobs, 0));
   t.deepEqual(decide(jobs, 500), []);
@@ -45,10 +45,13 @@
 });
 
 test('a call that failed is made again at another endpoint at once', t => {
-  const {desk, decide} = createDesk([createChoice('a1'), createChoice('a2')]);
+  const {scheduler, decide} = createScheduler([
+    createChoice('a1'),
+    createChoice('a2'),
+  ]);
   const jobs = createUnscored(['g0a']);
   const [first] = listCalls(decide(jobs, 0));
-  desk.noteEnd(first, {kind: 'failed'}, 100);
+  scheduler.onCallEnd(first, {kind: 'failed'}, 100);
   const [again] = listCalls(decide(jobs, 100));
   t.not(again.endpointId, first.endpointId);
 });
@@ -57,31 +60,34 @@
 // 1. A request crashes each endpoint that begins to run it.
 // 2. It shows as a connection that breaks, again and again.
 test('a call that breaks again and again pauses', t => {
-  const {desk, decide} = createDesk([createChoice('a1'), createChoice('a2')]);
+  const {scheduler, decide} = createScheduler([
+    createChoice('a1'),
+    createChoice('a2'),
+  ]);
   const jobs = createUnscored(['g0a']);
   for (let i = 0; i < 3; i++) {
     const [call] = listCalls(decide(jobs, i * 10));
-    desk.noteEnd(call, {kind: 'broken'}, i * 10 + 5);
+    scheduler.onCallEnd(call, {kind: 'broken'}, i * 10 + 5);
   }
   t.deepEqual(decide(jobs, 10_000), []);
   t.is(listCalls(decide(jobs, 15_100)).length, 1);
 });
 
 test('calls for items that no longer wait are cancelled', t => {
-  const {desk, decide} = createDesk([createChoice('a1')]);
+  const {scheduler, decide} = createScheduler([createChoice('a1')]);
   const jobs = createUnscored(['g0a', 'g0b']);
   const calls = listCalls(decide(jobs, 0));
   const [cancelled] = listCancelled(decide([jobs[0]], 10));
   t.is(cancelled.number, calls.find(({job}) => job === jobs[1])!.number);
-  desk.noteEnd(cancelled, {kind: 'cancelled'}, 11);
+  scheduler.onCallEnd(cancelled, {kind: 'cancelled'}, 11);
   t.deepEqual(decide([jobs[0]], 20), []);
 });
 
 test('without a rule for the call nothing goes out', t => {
-  const desk = new RewardDesk('dc');
+  const scheduler = new RewardScheduler('dc');
   const jobs = createUnscored(['g0a']);
   t.deepEqual(
-    desk.decide(jobs, () => undefined, 0, 0),
+    scheduler.decide(jobs, () => undefined, 0, 0),
     [],
   );
 });
--- a/packages/core/src/rewards/reward_desk.ts
+++ b/packages/core/src/rewards/reward_scheduler.ts
@@ -53,7 +53,7 @@
 /** Slots of an endpoint that reward calls leave to other requests, which find none while most endpoints are gone otherwise. */
 const RESERVED_SLOTS = 2;
 /** Time of a call until some were seen, ms. */
-const FIRST_CALL_MS = 250;
+const INITIAL_CALL_MS = 250;
 /** Weight of a new sample of that time. */
 const SMOOTHING = 0.1;
 /** A second call starts beside one that takes this many times the usual: one in twenty does by nature, and those at a slow or silent endpoint, which would hold a score for 3 s. */
@@ -75,10 +75,10 @@
   notBeforeMs: number;
 }
 
-export class RewardDesk {
+export class RewardScheduler {
   private readonly states = new Map<Job, RewardState>();
-  private readonly atEndpoint = new Map<string, number>();
-  private usualMs = FIRST_CALL_MS;
+  private readonly callsByEndpoint = new Map<string, number>();
+  private typicalMs = INITIAL_CALL_MS;
   private nextNumber = 1;
 
   constructor(private readonly dataCentre: string) {}
@@ -87,17 +87,17 @@
    * What is to be done now for `jobs`, the most urgent first. Calls for other
    * jobs are cancelled: their batch has ended, or they have a result.
    *
-   * @param draw In [0, 1): spreads calls over endpoints that are equally good.
+   * @param randomValue In [0, 1): spreads calls over endpoints that are equally good.
    */
   decide(
     jobs: readonly Job[],
     findRoute: FindRewardRoute,
     nowMs: number,
-    draw: number,
+    randomValue: number,
   ): readonly RewardAction[] {
-    const actions: RewardAction[] = this.cancelOthers(new Set(jobs));
+    const actions: RewardAction[] = this.cancelObsolete(new Set(jobs));
     const start = (job: Job) => {
-      const call = this.startCall(job, findRoute, nowMs, draw);
+      const call = this.startCall(job, findRoute, nowMs, randomValue);
       if (call) actions.push({kind: 'call', call});
     };
     for (const job of jobs) if (this.isDue(job, nowMs)) start(job);
@@ -106,15 +106,15 @@
   }
 
   /** A call has ended. */
-  noteEnd(call: RewardCall, end: RewardEnd, nowMs: number): void {
+  onCallEnd(call: RewardCall, end: RewardEnd, nowMs: number): void {
     const {job, endpointId, startedMs} = call;
-    this.countAt(endpointId, -1);
+    this.updateCallCount(endpointId, -1);
     const state = this.states.get(job);
     if (!state) return;
     state.calls.delete(call);
     if (end.kind === 'cancelled') return;
     if (end.kind === 'scored') {
-      this.usualMs += (nowMs - startedMs - this.usualMs) * SMOOTHING;
+      this.typicalMs += (nowMs - startedMs - this.typicalMs) * SMOOTHING;
       this.states.delete(job);
       return;
     }
@@ -129,7 +129,7 @@
     }
   }
 
-  private cancelOthers(jobs: ReadonlySet<Job>): RewardAction[] {
+  private cancelObsolete(jobs: ReadonlySet<Job>): RewardAction[] {
     const actions: RewardAction[] = [];
     for (const [job, {calls}] of this.states) {
       if (jobs.has(job)) continue;
@@ -140,34 +140,34 @@
   }
 
   private isDue(job: Job, nowMs: number): boolean {
-    const state = this.open(job);
+    const state = this.getOrCreateState(job);
     return state.calls.size === 0 && nowMs >= state.notBeforeMs;
   }
 
   private isLate(job: Job, nowMs: number): boolean {
-    const {calls, notBeforeMs} = this.open(job);
+    const {calls, notBeforeMs} = this.getOrCreateState(job);
     if (calls.size === 0 || calls.size >= MAX_CALLS) return false;
     const [first] = calls;
-    const lateMs = this.usualMs * HEDGE_FACTOR;
-    return nowMs >= notBeforeMs && nowMs - first.startedMs > lateMs;
+    const hedgeAfterMs = this.typicalMs * HEDGE_FACTOR;
+    return nowMs >= notBeforeMs && nowMs - first.startedMs > hedgeAfterMs;
   }
 
   private startCall(
     job: Job,
     findRoute: FindRewardRoute,
     nowMs: number,
-    draw: number,
+    randomValue: number,
   ): RewardCall | undefined {
     const reward = job.item.reward;
     const endpoints = reward && findRoute(job, reward)?.endpoints;
     if (!reward || !endpoints) return undefined;
-    const state = this.open(job);
+    const state = this.getOrCreateState(job);
     const busy = new Set([...state.calls].map(({endpointId}) => endpointId));
     const free = endpoints
       .filter(endpoint => this.hasRoom(endpoint) && !busy.has(endpoint.id))
-      .map(endpoint => this.countOwn(endpoint));
+      .map(endpoint => this.includeOwnCalls(endpoint));
     const pick = (tried: ReadonlySet<string>) =>
-      chooseEndpoint(free, tried, this.dataCentre, draw, nowMs);
+      chooseEndpoint(free, tried, this.dataCentre, randomValue, nowMs);
     // Where all have been tried the best of them is tried again.
     const endpoint = pick(state.tried) ?? pick(new Set());
     if (!endpoint) return undefined;
@@ -179,28 +179,28 @@
       startedMs: nowMs,
     };
     state.calls.add(call);
-    this.countAt(endpoint.id, 1);
+    this.updateCallCount(endpoint.id, 1);
     return call;
   }
 
   /** Calls that were decided on and are not under way yet count as well. */
-  private countOwn(endpoint: EndpointCandidate): EndpointCandidate {
-    const own = this.atEndpoint.get(endpoint.id) ?? 0;
+  private includeOwnCalls(endpoint: EndpointCandidate): EndpointCandidate {
+    const own = this.callsByEndpoint.get(endpoint.id) ?? 0;
     return {...endpoint, inFlight: Math.max(endpoint.inFlight, own)};
   }
 
   private hasRoom({id, slots}: EndpointCandidate): boolean {
     const room = Math.max(slots - RESERVED_SLOTS, 1);
-    return (this.atEndpoint.get(id) ?? 0) < room;
+    return (this.callsByEndpoint.get(id) ?? 0) < room;
   }
 
-  private countAt(endpointId: string, more: number): void {
-    const count = (this.atEndpoint.get(endpointId) ?? 0) + more;
-    if (count > 0) this.atEndpoint.set(endpointId, count);
-    else this.atEndpoint.delete(endpointId);
+  private updateCallCount(endpointId: string, change: number): void {
+    const count = (this.callsByEndpoint.get(endpointId) ?? 0) + change;
+    if (count > 0) this.callsByEndpoint.set(endpointId, count);
+    else this.callsByEndpoint.delete(endpointId);
   }
 
-  private open(job: Job): RewardState {
+  private getOrCreateState(job: Job): RewardState {
     let state = this.states.get(job);
     if (!state) {
       state = {
--- a/packages/core/src/usage/__tests__/usage.spec.ts
+++ b/packages/core/src/usage/__tests__/usage.spec.ts
@@ -1,6 +1,6 @@
 import test from 'ava';
 import fc from 'fast-check';
-import {ReportBook} from '../report_book.js';
+import {ReportTracker} from '../report_tracker.js';
 import {UsageLedger} from '../usage_ledger.js';
 import type {ReportRecord, UsageEntry} from '../usage_record.js';
 import {UsageTally} from '../usage_tally.js';
@@ -9,10 +9,10 @@
 
 test('a request counts in the window in which it began', t => {
   const tally = new UsageTally(WINDOW_MS);
-  tally.note('alpha', 9_999);
-  tally.note('alpha', 10_000);
-  tally.note('beta', 10_001);
-  tally.note('alpha', 14_999);
+  tally.record('alpha', 9_999);
+  tally.record('alpha', 10_000);
+  tally.record('beta', 10_001);
+  tally.record('alpha', 14_999);
   t.deepEqual(tally.take(), [
     {window: 1, account: 'alpha', requests: 1},
     {window: 2, account: 'alpha', requests: 2},
@@ -74,34 +74,34 @@
 });
 
 test('guards against two reports of one window with different counts', t => {
-  const book = new ReportBook();
-  book.apply({kind: 'decided', window: 4, counts: {alpha: 1}});
-  book.apply({kind: 'decided', window: 4, counts: {alpha: 2}});
-  t.deepEqual(book.undelivered, [{window: 4, counts: {alpha: 1}}]);
-  book.apply({kind: 'delivered', window: 4});
-  book.apply({kind: 'decided', window: 4, counts: {alpha: 2}});
-  t.deepEqual(book.undelivered, []);
+  const tracker = new ReportTracker();
+  tracker.apply({kind: 'decided', window: 4, counts: {alpha: 1}});
+  tracker.apply({kind: 'decided', window: 4, counts: {alpha: 2}});
+  t.deepEqual(tracker.undelivered, [{window: 4, counts: {alpha: 1}}]);
+  tracker.apply({kind: 'delivered', window: 4});
+  tracker.apply({kind: 'decided', window: 4, counts: {alpha: 2}});
+  t.deepEqual(tracker.undelivered, []);
 });
 
 test('windows are decided without a gap, from the first one of the service on', t => {
-  const book = new ReportBook();
-  t.is(book.findNext(99, 60), undefined);
-  book.apply({kind: 'begun', window: 100});
-  book.apply({kind: 'begun', window: 101});
-  t.is(book.findNext(104, 60), 100);
-  book.apply({kind: 'decided', window: 100, counts: {}});
-  t.is(book.findNext(104, 60), 101);
-  t.is(book.findNext(500, 60), 440);
+  const tracker = new ReportTracker();
+  t.is(tracker.findNext(99, 60), undefined);
+  tracker.apply({kind: 'begun', window: 100});
+  tracker.apply({kind: 'begun', window: 101});
+  t.is(tracker.findNext(104, 60), 100);
+  tracker.apply({kind: 'decided', window: 100, counts: {}});
+  t.is(tracker.findNext(104, 60), 101);
+  t.is(tracker.findNext(500, 60), 440);
 });
 
 test('what was decided and not delivered is told oldest first', t => {
-  const book = new ReportBook();
+  const tracker = new ReportTracker();
   for (const window of [5, 3, 4]) {
-    book.apply({kind: 'decided', window, counts: {}});
+    tracker.apply({kind: 'decided', window, counts: {}});
   }
-  book.apply({kind: 'delivered', window: 4});
+  tracker.apply({kind: 'delivered', window: 4});
   t.deepEqual(
-    book.undelivered.map(({window}) => window),
+    tracker.undelivered.map(({window}) => window),
     [3, 5],
   );
 });
@@ -120,13 +120,13 @@
   );
   fc.assert(
     fc.property(fc.array(record), records => {
-      const told = new Map<number, number>();
-      const book = new ReportBook();
+      const reported = new Map<number, number>();
+      const tracker = new ReportTracker();
       for (const each of records as readonly ReportRecord[]) {
-        book.apply(each);
-        for (const {window, counts} of book.undelivered) {
-          const known = told.get(window) ?? counts['alpha'];
-          told.set(window, known);
+        tracker.apply(each);
+        for (const {window, counts} of tracker.undelivered) {
+          const known = reported.get(window) ?? counts['alpha'];
+          reported.set(window, known);
           t.is(counts['alpha'], known);
         }
       }
@@ -136,17 +136,17 @@
 });
 
 test('reports that are given up are told, and delivered ones forgotten', t => {
-  const book = new ReportBook();
+  const tracker = new ReportTracker();
   for (const window of [3, 4, 5]) {
-    book.apply({kind: 'decided', window, counts: {}});
+    tracker.apply({kind: 'decided', window, counts: {}});
   }
-  book.apply({kind: 'delivered', window: 3});
-  t.deepEqual(book.forget(5), [4]);
+  tracker.apply({kind: 'delivered', window: 3});
+  t.deepEqual(tracker.forget(5), [4]);
   t.deepEqual(
-    book.undelivered.map(({window}) => window),
+    tracker.undelivered.map(({window}) => window),
     [5],
   );
-  t.is(book.findNext(9, 60), 6);
+  t.is(tracker.findNext(9, 60), 6);
 });
 
 test('an entry without counts is none', t => {
--- a/packages/core/src/usage/report_book.ts
+++ b/packages/core/src/usage/report_tracker.ts
@@ -6,12 +6,12 @@
 
 import type {ReportRecord, UsageReport} from './usage_record.js';
 
-export class ReportBook {
+export class ReportTracker {
   /** Decided and not known to be delivered, by window. */
   private readonly open = new Map<number, UsageReport>();
   private readonly delivered = new Set<number>();
   /** The newest window that was decided, or the one before the first. */
-  private last: number | undefined;
+  private lastDecided: number | undefined;
 
   /** Windows that the platform may not have yet, the oldest first. */
   get undelivered(): readonly UsageReport[] {
@@ -23,7 +23,7 @@
     const {window} = record;
     switch (record.kind) {
       case 'begun':
-        this.last ??= window - 1;
+        this.lastDecided ??= window - 1;
         return;
       case 'delivered':
         this.open.delete(window);
@@ -32,7 +32,7 @@
       case 'decided':
         if (this.open.has(window) || this.delivered.has(window)) return;
         this.open.set(window, {window, counts: record.counts});
-        this.last = Math.max(this.last ?? window, window);
+        this.lastDecided = Math.max(this.lastDecided ?? window, window);
     }
   }
 
@@ -42,8 +42,8 @@
    * nothing counted in them is kept any more.
    */
   findNext(current: number, maxBehind: number): number | undefined {
-    if (this.last === undefined) return undefined;
-    return Math.max(this.last + 1, current - maxBehind);
+    if (this.lastDecided === undefined) return undefined;
+    return Math.max(this.lastDecided + 1, current - maxBehind);
   }
 
   /** Forgets windows before `window`; returns those that the platform may not have. */
@@ -51,8 +51,8 @@
     for (const known of [...this.delivered]) {
       if (known < window) this.delivered.delete(known);
     }
-    const given = [...this.open.keys()].filter(known => known < window);
-    for (const known of given) this.open.delete(known);
-    return given;
+    const undelivered = [...this.open.keys()].filter(known => known < window);
+    for (const known of undelivered) this.open.delete(known);
+    return undelivered;
   }
 }
--- a/packages/core/src/usage/usage_ledger.ts
+++ b/packages/core/src/usage/usage_ledger.ts
@@ -2,21 +2,21 @@
 
 import type {AccountCounts, UsageEntry} from './usage_record.js';
 
-interface WriterMark {
+interface LastEntry {
   readonly number: number;
   /** The newest window that was open when it came. */
   readonly window: number;
 }
 
 /** A writer without an entry for so many windows is forgotten: the log does not keep its entries any longer. */
-const KEPT_WINDOWS = 100;
+const RETAINED_WINDOWS = 100;
 
 export class UsageLedger {
   private readonly windows = new Map<number, Map<string, number>>();
   /** The last entry of each writer. */
-  private readonly writers = new Map<string, WriterMark>();
+  private readonly writers = new Map<string, LastEntry>();
   /** Windows before this one are closed. */
-  private firstOpen = 0;
+  private firstOpenWindow = 0;
 
   /**
    * Takes the next entry of its partition, and returns how many requests came
@@ -27,10 +27,10 @@
    */
   apply({writer, number, counts}: UsageEntry): number {
     if (number <= (this.writers.get(writer)?.number ?? -1)) return 0;
-    this.writers.set(writer, {number, window: this.firstOpen});
+    this.writers.set(writer, {number, window: this.firstOpenWindow});
     let late = 0;
     for (const {window, account, requests} of counts) {
-      if (window < this.firstOpen) late += requests;
+      if (window < this.firstOpenWindow) late += requests;
       else this.add(window, account, requests);
     }
     return late;
@@ -49,12 +49,12 @@
 
   /** Closes the windows before `window`, and forgets what was counted in them. */
   close(window: number): void {
-    this.firstOpen = Math.max(this.firstOpen, window);
+    this.firstOpenWindow = Math.max(this.firstOpenWindow, window);
     for (const known of [...this.windows.keys()]) {
-      if (known < this.firstOpen) this.windows.delete(known);
+      if (known < this.firstOpenWindow) this.windows.delete(known);
     }
-    for (const [writer, mark] of this.writers) {
-      const isOld = mark.window < this.firstOpen - KEPT_WINDOWS;
+    for (const [writer, lastEntry] of this.writers) {
+      const isOld = lastEntry.window < this.firstOpenWindow - RETAINED_WINDOWS;
       if (isOld) this.writers.delete(writer);
     }
   }
--- a/packages/core/src/usage/usage_tally.ts
+++ b/packages/core/src/usage/usage_tally.ts
@@ -15,7 +15,7 @@
   }
 
   /** An endpoint began a request of the account at `unixMs`. */
-  note(account: string, unixMs: number): void {
+  record(account: string, unixMs: number): void {
     const window = findWindow(unixMs, this.windowMs);
     const counts = this.windows.get(window) ?? new Map<string, number>();
     this.windows.set(window, counts);
--- a/packages/daemon/src/gateway/__tests__/gateway.spec.ts
+++ b/packages/daemon/src/gateway/__tests__/gateway.spec.ts
@@ -37,7 +37,7 @@
 /** A platform on whose list every record is an endpoint. */
 class FullDirectory extends EmptyDirectory {
   override decodeEndpoint = (id: string) =>
-    succeed({...createEntry(1), id, bornMs: 1});
+    succeed({...createEntry(1), id, startedAtMs: 1});
 }
 
 /** A log in which only the list of endpoints has news. */
--- a/packages/daemon/src/gateway/__tests__/gateway_fixtures.ts
+++ b/packages/daemon/src/gateway/__tests__/gateway_fixtures.ts
@@ -6,7 +6,7 @@
   BatchItem,
   RewardRequest,
 } from '@radishyoke/core/batches/batch_record';
-import {CrashBook} from '@radishyoke/core/crashes/crash_book';
+import {CrashRegistry} from '@radishyoke/core/crashes/crash_registry';
 import type {EndpointEntry} from '@radishyoke/core/fleet/endpoint_entry';
 import {createError} from '@radishyoke/shared/error_kind';
 import {fail, type Result} from '@radishyoke/shared/result';
@@ -95,7 +95,7 @@
 /** A watch that tells nobody; its endpoints are there unless `isThere` says otherwise. */
 export function createCrashWatch(
   isThere: (target: ProbeTarget) => boolean = () => true,
-  book = new CrashBook(0),
+  book = new CrashRegistry(0),
 ): CrashWatch {
   return new CrashWatch({
     book,
@@ -155,7 +155,7 @@
     slots: 4,
     isDraining: false,
     models: [],
-    bornMs: 0,
+    startedAtMs: 0,
     sequence: 0,
   };
 }
--- a/packages/daemon/src/gateway/batches/batch_runner.ts
+++ b/packages/daemon/src/gateway/batches/batch_runner.ts
@@ -27,7 +27,7 @@
 import type {LogEventName} from '@radishyoke/shared/log_event';
 import {
   countEarlierFailures,
-  listEarlier,
+  listEarlierBatches,
 } from '@radishyoke/core/batches/earlier_batches';
 import type {EndpointEntry} from '@radishyoke/core/fleet/endpoint_entry';
 import type {EndpointRoster} from '@radishyoke/core/fleet/endpoint_roster';
@@ -133,7 +133,7 @@
     this.scheduler = new BatchScheduler({
       tokensPerEvent,
       runPrefix: termId,
-      isHeld: job => this.isHeld(job),
+      isQuarantined: job => this.isHeld(job),
     });
     this.itemLog = new ItemLog(parts.store, parts.shelf, termId);
     this.loader = new BatchLoader(parts.store, parts.shelf, logger);
@@ -149,7 +149,7 @@
     });
     this.rewards = new RewardTask(parts, {
       onScore: (job, score) => {
-        this.scheduler.noteScore(job, score);
+        this.scheduler.onScore(job, score);
         this.decideSoon();
       },
       onFailed: (job, attempts) => this.noteRewardFailure(job, attempts),
@@ -220,7 +220,7 @@
 
   /** An endpoint is gone or another one now. */
   forgetEndpoint(id: string): void {
-    this.scheduler.board.forget(id);
+    this.scheduler.engineHealth.forget(id);
     this.fleet.forget(id);
   }
 
@@ -242,7 +242,7 @@
         this.scheduler.closeBatch(id);
         break;
       case 'listed':
-        this.scheduler.noteListed(id, change.listed);
+        this.scheduler.onResultListed(id, change.listed);
         if (isComplete(entry)) this.scheduler.closeBatch(id);
     }
     this.decideSoon();
@@ -252,7 +252,7 @@
   private async open(entry: IndexedBatch, isBegun: boolean): Promise<void> {
     const {header} = entry;
     if (this.loading.has(header.id)) return;
-    if (this.scheduler.knowsBatch(header)) return;
+    if (this.scheduler.hasBatch(header)) return;
     this.loading.add(header.id);
     await this.openEarlier(entry);
     const {signal} = this.abort;
@@ -276,8 +276,8 @@
   private async openEarlier(entry: IndexedBatch): Promise<void> {
     const known = this.listKnown();
     const textsOf = new Set(entry.items.keys());
-    for (const earlier of listEarlier(entry, known)) {
-      if (this.scheduler.knowsBatch(earlier.header)) continue;
+    for (const earlier of listEarlierBatches(entry, known)) {
+      if (this.scheduler.hasBatch(earlier.header)) continue;
       const options = {isBegun: true, textsOf};
       const {signal} = this.abort;
       const state = await this.loader.load(earlier, options, signal);
@@ -382,7 +382,7 @@
     const {roster, clock, crashes} = this.parts;
     const entry = roster.get(run.engineId);
     if (!entry) {
-      this.scheduler.noteEnd(run, 'unreachable', clock.now());
+      this.scheduler.onRunEnd(run, 'unreachable', clock.now());
       return;
     }
     this.logRun(run, 'run started', reason);
@@ -436,7 +436,7 @@
     const nowMs = this.parts.clock.now();
     const {model} = run.job.batch.batch;
     this.fleet.noteVersion(run.engineId, model, event.version);
-    if (this.scheduler.noteEvent(run, event, nowMs)) return;
+    if (this.scheduler.onEvent(run, event, nowMs)) return;
     // A gap or a repeat: what this stream says can not be joined to the rest.
     this.logRun(run, 'run out of order', `event ${event.id}`);
     this.stopRun(run);
@@ -467,14 +467,14 @@
     if (end === 'impossible') {
       this.itemLog.writeFailure('attempt_impossible', run.job);
     }
-    this.scheduler.noteEnd(run, end, this.parts.clock.now());
+    this.scheduler.onRunEnd(run, end, this.parts.clock.now());
     if (run.job.state === 'unscored') this.itemLog.writeWholeText(run.job);
     this.decideSoon();
   }
 
   private noteRewardFailure(job: Job, attempts: number): void {
     this.itemLog.writeFailure('reward_failed', job);
-    this.scheduler.noteRewardFailure(job, attempts);
+    this.scheduler.onRewardFailure(job, attempts);
     this.decideSoon();
   }
 
--- a/packages/daemon/src/gateway/batches/item_log.ts
+++ b/packages/daemon/src/gateway/batches/item_log.ts
@@ -39,9 +39,10 @@
 
   /** Writes the events that came since the last time. */
   writeProgress(job: Job): void {
-    const {recorded} = job;
-    const isNew = job.transcript.events.length > recorded;
-    if (isNew && job.state !== 'finished') this.writeText(job, recorded, false);
+    const {recordedEvents} = job;
+    const isNew = job.transcript.events.length > recordedEvents;
+    if (isNew && job.state !== 'finished')
+      this.writeText(job, recordedEvents, false);
   }
 
   /**
@@ -51,7 +52,7 @@
    */
   writeWholeText(job: Job): void {
     const last = job.transcript.events.length - 1;
-    this.writeText(job, Math.min(job.recorded, last), true);
+    this.writeText(job, Math.min(job.recordedEvents, last), true);
   }
 
   /** Writes the events of a text from the one at `from` on. */
@@ -66,7 +67,7 @@
       events: events.slice(from),
       ...(isWhole ? {isWhole} : {}),
     });
-    job.recorded = events.length;
+    job.recordedEvents = events.length;
   }
 
   private open(batchId: string): Writers {
--- a/packages/daemon/src/gateway/batches/record_writer.ts
+++ b/packages/daemon/src/gateway/batches/record_writer.ts
@@ -10,7 +10,7 @@
   PayloadRef,
   ProgressRecord,
 } from '@radishyoke/core/batches/batch_record';
-import {TrimMarks} from '@radishyoke/core/batches/trim_marks';
+import {TrimTracker} from '@radishyoke/core/batches/trim_tracker';
 import {setTimeout as sleep} from 'node:timers/promises';
 import {encodeRecord} from './batch_codec.js';
 import {
@@ -51,13 +51,13 @@
   private isGathering = false;
   private writes = 0;
   private isStopped = false;
-  private readonly marks: TrimMarks;
+  private readonly marks: TrimTracker;
 
   constructor(
     protected readonly store: LogStore,
     private readonly terms: WriterTerms,
   ) {
-    this.marks = new TrimMarks(terms.keepMs);
+    this.marks = new TrimTracker(terms.keepMs);
   }
 
   protected get partition(): number {
@@ -82,7 +82,7 @@
 
   /** A record of the topic stands at `offset`. */
   protected noteAppended(offset: number): void {
-    const before = this.marks.note(offset, performance.now());
+    const before = this.marks.recordAppend(offset, performance.now());
     if (before === undefined) return;
     void this.store.trim(this.terms.topic, this.partition, before);
   }
--- a/packages/daemon/src/gateway/batches/reward_task.ts
+++ b/packages/daemon/src/gateway/batches/reward_task.ts
@@ -9,9 +9,9 @@
 import type {EndpointRoster} from '@radishyoke/core/fleet/endpoint_roster';
 import {
   type RewardCall,
-  RewardDesk,
+  RewardScheduler,
   type RewardEnd,
-} from '@radishyoke/core/rewards/reward_desk';
+} from '@radishyoke/core/rewards/reward_scheduler';
 import {
   hashToUnitInterval,
   pickService,
@@ -61,7 +61,7 @@
 const FAILED_STATUS = 500;
 
 export class RewardTask {
-  private readonly desk: RewardDesk;
+  private readonly desk: RewardScheduler;
   private readonly live = new Map<number, EndpointExchange>();
   private isStopped = false;
 
@@ -69,7 +69,7 @@
     private readonly parts: RewardParts,
     private readonly events: RewardEvents,
   ) {
-    this.desk = new RewardDesk(parts.dataCentre);
+    this.desk = new RewardScheduler(parts.dataCentre);
   }
 
   /** Starts and cancels calls for `jobs`, the most urgent first. */
@@ -108,7 +108,7 @@
   private async run(call: RewardCall): Promise<void> {
     const {roster, links, view, protocol} = this.parts;
     const entry = roster.get(call.endpointId);
-    if (!entry) return this.desk.noteEnd(call, {kind: 'not_run'}, now());
+    if (!entry) return this.desk.onCallEnd(call, {kind: 'not_run'}, now());
     this.logStart(call);
     const exchange = new EndpointExchange(links.open(entry), protocol, entry);
     this.live.set(call.number, exchange);
@@ -160,7 +160,7 @@
   }
 
   private conclude(call: RewardCall, end: RewardEnd, detail: string): void {
-    this.desk.noteEnd(call, end, now());
+    this.desk.onCallEnd(call, end, now());
     this.parts.metrics.count(`reward_${end.kind}`);
     this.logEnd(call, end, detail);
     if (this.isStopped) return;
--- a/packages/daemon/src/gateway/crashes/__tests__/crash_news.spec.ts
+++ b/packages/daemon/src/gateway/crashes/__tests__/crash_news.spec.ts
@@ -1,8 +1,8 @@
 import {
-  CrashBook,
-  type CrashMark,
+  CrashRegistry,
+  type CrashRecord,
   MAX_REQUESTS,
-} from '@radishyoke/core/crashes/crash_book';
+} from '@radishyoke/core/crashes/crash_registry';
 import {setTimeout as sleep} from 'node:timers/promises';
 import test, {type ExecutionContext} from 'ava';
 import {silentLogger} from '../../../logger.js';
@@ -10,10 +10,10 @@
 import {decodeMarks, encodeMarks} from '../crash_codec.js';
 import {CrashNews} from '../crash_news.js';
 
-const MARK: CrashMark = {endpointId: 'e1', atMs: Date.now(), weight: 2};
+const MARK: CrashRecord = {endpointId: 'e1', atMs: Date.now(), weight: 2};
 
 function createNews(t: ExecutionContext, store = new MemoryStore()) {
-  const book = new CrashBook(0);
+  const book = new CrashRegistry(0);
   const heard: string[] = [];
   const onNews = (fingerprint: string) => heard.push(fingerprint);
   const news = new CrashNews(store, 'crashes', book, onNews, silentLogger);
@@ -67,7 +67,7 @@
   void news.run();
   await waitUntil(() => book.has('g'));
   t.false(book.has('f'), 'withdrawn by another VM');
-  t.deepEqual(book.getMarks('g'), [MARK]);
+  t.deepEqual(book.getCrashes('g'), [MARK]);
   t.false(book.has('bad'));
   t.deepEqual(heard, ['f', 'g']);
 });
--- a/packages/daemon/src/gateway/crashes/__tests__/crash_watch.spec.ts
+++ b/packages/daemon/src/gateway/crashes/__tests__/crash_watch.spec.ts
@@ -1,4 +1,4 @@
-import {CrashBook} from '@radishyoke/core/crashes/crash_book';
+import {CrashRegistry} from '@radishyoke/core/crashes/crash_registry';
 import test from 'ava';
 import {silentLogger} from '../../../logger.js';
 import {createEntry} from '../../__tests__/gateway_fixtures.js';
@@ -7,7 +7,7 @@
 
 /** A watch whose endpoints are there unless they stand in `gone`. */
 function createWatch() {
-  const book = new CrashBook(0);
+  const book = new CrashRegistry(0);
   const told: string[] = [];
   const gone = new Set<string>();
   const entries = new Map(
@@ -61,10 +61,10 @@
   await watch.settle('e0');
   begin('e1', 'g').end('answered');
   watch.noteGone(entry);
-  t.is(book.getMarks('f').length, 1);
+  t.is(book.getCrashes('f').length, 1);
   t.false(book.has('g'));
   watch.noteGone(entry);
-  t.is(book.getMarks('f').length, 1);
+  t.is(book.getCrashes('f').length, 1);
 });
 
 test('a broken connection beside one that goes on is no crash', async t => {
@@ -105,11 +105,11 @@
   begin('e0', 'f').end('answered');
   await crash('e1', 'f');
   t.is(book.size, 0);
-  book.noteCrash('f', {endpointId: 'e2', atMs: Date.now(), weight: 2});
+  book.recordCrash('f', {endpointId: 'e2', atMs: Date.now(), weight: 2});
   watch.noteNews('f');
   t.is(book.size, 0);
   t.deepEqual(told, ['f']);
-  book.noteCrash('g', {endpointId: 'e2', atMs: Date.now(), weight: 2});
+  book.recordCrash('g', {endpointId: 'e2', atMs: Date.now(), weight: 2});
   watch.noteNews('g');
   t.true(book.has('g'));
 });
@@ -123,7 +123,7 @@
     watched.end('broken');
     await watch.settle(id);
   }
-  t.is(book.getMarks('f').length, 5);
+  t.is(book.getCrashes('f').length, 5);
   t.false(watch.isHeld(() => 'f'));
   const watched = begin('e5', 'f');
   for (let i = 0; i < 10; i++) watched.noteEvent();
@@ -158,10 +158,10 @@
   const longAgoMs = Date.now() - 60_000;
   for (let i = 0; i < 3; i++) {
     const endpointId = `e${i}`;
-    book.noteCrash('f', {endpointId, atMs: longAgoMs + i, weight: 2});
+    book.recordCrash('f', {endpointId, atMs: longAgoMs + i, weight: 2});
   }
   begin('e3', 'f').end('broken');
-  t.is(book.getMarks('f').length, 4);
+  t.is(book.getCrashes('f').length, 4);
   t.true(watch.measureHoldMs('f') > 9000);
 });
 
@@ -170,7 +170,7 @@
   const longAgoMs = Date.now() - 60_000;
   for (let i = 0; i < 3; i++) {
     const endpointId = `e${i}`;
-    book.noteCrash('f', {endpointId, atMs: longAgoMs + i, weight: 2});
+    book.recordCrash('f', {endpointId, atMs: longAgoMs + i, weight: 2});
   }
   t.false(watch.isHeld(() => 'f'));
   const watched = begin('e3', 'f');
--- a/packages/daemon/src/gateway/crashes/crash_codec.ts
+++ b/packages/daemon/src/gateway/crashes/crash_codec.ts
@@ -1,6 +1,6 @@
 /** Bytes of what VMs tell each other of a request beside which endpoints crashed. */
 
-import type {CrashMark} from '@radishyoke/core/crashes/crash_book';
+import type {CrashRecord} from '@radishyoke/core/crashes/crash_registry';
 import {fail, type Result, succeed} from '@radishyoke/shared/result';
 import {createError} from '@radishyoke/shared/error_kind';
 import {Packr} from 'msgpackr';
@@ -17,11 +17,11 @@
 /** Plain maps, so that records of one version of the program can be read by another. */
 const packr = new Packr({useRecords: false});
 
-export function encodeMarks(marks: readonly CrashMark[]): Uint8Array {
+export function encodeMarks(marks: readonly CrashRecord[]): Uint8Array {
   return packr.pack(marks);
 }
 
-export function decodeMarks(bytes: Uint8Array): Result<readonly CrashMark[]> {
+export function decodeMarks(bytes: Uint8Array): Result<readonly CrashRecord[]> {
   try {
     return succeed(v.parse(marksSchema, packr.unpack(bytes)));
   } catch (err) {
--- a/packages/daemon/src/gateway/crashes/crash_news.ts
+++ b/packages/daemon/src/gateway/crashes/crash_news.ts
@@ -4,7 +4,7 @@
  * news outlives all VMs. A VM that can not reach the log goes by what it saw.
  */
 
-import type {CrashBook} from '@radishyoke/core/crashes/crash_book';
+import type {CrashRegistry} from '@radishyoke/core/crashes/crash_registry';
 import {setTimeout as sleep} from 'node:timers/promises';
 import type {EventLogger} from '../../logger.js';
 import {KeyedFeed} from '../store/keyed_feed.js';
@@ -35,7 +35,7 @@
   constructor(
     private readonly store: LogStore,
     private readonly topic: string,
-    private readonly book: CrashBook,
+    private readonly book: CrashRegistry,
     /** Told of each request that the log tells of. */
     private readonly onNews: (fingerprint: string) => void,
     private readonly logger: EventLogger,
@@ -108,7 +108,7 @@
 
   /** A request that the book no longer has is withdrawn. */
   private createRecord(key: string): NewKeyedRecord {
-    const marks = this.book.getMarks(key);
+    const marks = this.book.getCrashes(key);
     return marks.length === 0 ? {key} : {key, value: encodeMarks(marks)};
   }
 }
--- a/packages/daemon/src/gateway/crashes/crash_watch.ts
+++ b/packages/daemon/src/gateway/crashes/crash_watch.ts
@@ -4,11 +4,11 @@
  */
 
 import {
-  type CrashBook,
+  type CrashRegistry,
   EARLY_WEIGHT,
   LATE_WEIGHT,
-  type Standing,
-} from '@radishyoke/core/crashes/crash_book';
+  type QuarantineStatus,
+} from '@radishyoke/core/crashes/crash_registry';
 import {RecentAnswers} from '@radishyoke/core/crashes/recent_answers';
 import type {EndpointEntry} from '@radishyoke/core/fleet/endpoint_entry';
 import type {EventLogger} from '../../logger.js';
@@ -28,7 +28,7 @@
 }
 
 export interface WatchParts {
-  readonly book: CrashBook;
+  readonly book: CrashRegistry;
   readonly news: CrashTeller;
   readonly metrics: GatewayMetrics;
   readonly logger: EventLogger;
@@ -82,7 +82,7 @@
   }
 
   countCrashes(fingerprint: string): number {
-    return this.parts.book.getMarks(fingerprint).length;
+    return this.parts.book.getCrashes(fingerprint).length;
   }
 
   /**
@@ -98,7 +98,7 @@
 
   /** A request goes to an endpoint. */
   begin(entry: EndpointEntry, fingerprint: () => string): WatchedRequest {
-    if (this.isAlert) this.parts.book.noteStart(fingerprint(), Date.now());
+    if (this.isAlert) this.parts.book.recordStart(fingerprint(), Date.now());
     const watched = new WatchedRequest(entry, fingerprint, (ended, how) =>
       this.noteEnd(ended, how),
     );
@@ -132,12 +132,12 @@
     return this.parts.book.size > 0;
   }
 
-  private judge(fingerprint: string): Standing {
-    return this.parts.book.judge(fingerprint, Date.now());
+  private judge(fingerprint: string): QuarantineStatus {
+    return this.parts.book.getStatus(fingerprint, Date.now());
   }
 
   private isAnswered(fingerprint: string): boolean {
-    return this.answers.speaksFor(fingerprint, performance.now());
+    return this.answers.hasRecent(fingerprint, performance.now());
   }
 
   private hasSurvivor(endpointId: string, beforeMs: number): boolean {
@@ -152,7 +152,7 @@
     if (here?.size === 0) this.inFlight.delete(entry.id);
     if (how === 'broken') return this.takeBreak(watched);
     if (how === 'answered') {
-      this.answers.note(watched.fingerprint(), performance.now());
+      this.answers.record(watched.fingerprint(), performance.now());
     }
     const hasRun = how === 'answered' || !isEarly(watched);
     if (hasRun) this.clear(watched);
@@ -161,7 +161,7 @@
   /** Of a request on trial a broken connection is enough: a crash may be known for one only seconds later. */
   private takeBreak(watched: InFlightRequest): void {
     const name = watched.fingerprint();
-    const isTrial = this.parts.book.isOnTrial(name);
+    const isTrial = this.parts.book.runsAsProbe(name);
     if (isTrial)
       this.noteCrash(watched.entry, new Map([[name, watched]]), Date.now());
     this.inquiries.open(watched);
@@ -191,7 +191,7 @@
     for (const [fingerprint, watched] of broken) {
       if (this.isAnswered(fingerprint)) continue;
       const weight = isEarly(watched) ? EARLY_WEIGHT : LATE_WEIGHT;
-      book.noteCrash(fingerprint, {endpointId: id, atMs, weight});
+      book.recordCrash(fingerprint, {endpointId: id, atMs, weight});
       this.tellSoon(fingerprint);
       this.logHold(fingerprint);
     }
@@ -213,7 +213,7 @@
 
   private tellSoon(fingerprint: string): void {
     const {book, news} = this.parts;
-    if (book.getMarks(fingerprint).length >= TELL_MARKS) {
+    if (book.getCrashes(fingerprint).length >= TELL_MARKS) {
       news.tell(fingerprint);
       return;
     }
--- a/packages/daemon/src/gateway/endpoints/endpoint_links.ts
+++ b/packages/daemon/src/gateway/endpoints/endpoint_links.ts
@@ -23,7 +23,7 @@
   open(entry: EndpointEntry): http.Agent {
     const address = `${entry.host}:${entry.port}`;
     const known = this.links.get(entry.id);
-    if (known?.bornMs === entry.bornMs && known.address === address) {
+    if (known?.bornMs === entry.startedAtMs && known.address === address) {
       return known.agent;
     }
     known?.agent.destroy();
@@ -32,7 +32,7 @@
       scheduling: 'lifo',
       timeout: IDLE_MS,
     });
-    this.links.set(entry.id, {agent, bornMs: entry.bornMs, address});
+    this.links.set(entry.id, {agent, bornMs: entry.startedAtMs, address});
     return agent;
   }
 
--- a/packages/daemon/src/gateway/endpoints/endpoint_view.ts
+++ b/packages/daemon/src/gateway/endpoints/endpoint_view.ts
@@ -85,9 +85,9 @@
 
   private open(entry: EndpointEntry): Seen {
     const known = this.seen.get(entry.id);
-    if (known && known.bornMs === entry.bornMs) return known;
+    if (known && known.bornMs === entry.startedAtMs) return known;
     const seen = {
-      bornMs: entry.bornMs,
+      bornMs: entry.startedAtMs,
       inFlight: 0,
       reported: 0,
       reportedAtMs: -Infinity,
--- a/packages/daemon/src/gateway/engines/engine_fleet.ts
+++ b/packages/daemon/src/gateway/engines/engine_fleet.ts
@@ -1,6 +1,6 @@
 /** What the coordinator knows of the engines: the list's word, and what it learned since. */
 
-import type {EngineView} from '@radishyoke/core/batches/engine_board';
+import type {EngineView} from '@radishyoke/core/batches/engine_health';
 import type {EndpointEntry} from '@radishyoke/core/fleet/endpoint_entry';
 import type {EndpointRoster} from '@radishyoke/core/fleet/endpoint_roster';
 import type {ServiceSpec} from '@radishyoke/core/routing/route_table';
@@ -118,9 +118,9 @@
 
   private open(entry: EndpointEntry): EngineState {
     const known = this.states.get(entry.id);
-    if (known && known.bornMs === entry.bornMs) return known;
+    if (known && known.bornMs === entry.startedAtMs) return known;
     const state: EngineState = {
-      bornMs: entry.bornMs,
+      bornMs: entry.startedAtMs,
       versions: new Map(
         entry.models.map(({model, version}) => [model, version]),
       ),
--- a/packages/daemon/src/gateway/engines/engine_reports.ts
+++ b/packages/daemon/src/gateway/engines/engine_reports.ts
@@ -43,7 +43,7 @@
       return undefined;
     }
     // The address may belong to a later life by now.
-    if (report.value.bornMs !== entry.bornMs) return undefined;
+    if (report.value.bornMs !== entry.startedAtMs) return undefined;
     this.fleet.noteReport(entry, report.value);
     return report.value;
   }
--- a/packages/daemon/src/gateway/engines/lease_task.ts
+++ b/packages/daemon/src/gateway/engines/lease_task.ts
@@ -25,7 +25,7 @@
  */
 export const LEASE_TIMING: LeaseTiming = {
   renewMs: 300,
-  trustMs: 900,
+  validityMs: 900,
   silenceMs: 1100,
   orderWindowMs: 650,
 };
@@ -95,7 +95,7 @@
 
   /** Whether this VM runs batches. */
   get isNamed(): boolean {
-    return this.lease.isNamed() && !this.isReleased;
+    return this.lease.isNamedHolder() && !this.isReleased;
   }
 
   /** Steady ms of the last read or append that succeeded. */
@@ -116,7 +116,7 @@
     const isHolder =
       this.lease.isHeld(nowMs) &&
       !this.isReleased &&
-      nowMs - this.thawedMs > LEASE_TIMING.trustMs;
+      nowMs - this.thawedMs > LEASE_TIMING.validityMs;
     if (!isHolder) return () => false;
     const isSafe = this.lease.isHandedOver && this.cfg.isFencingEnforced;
     const waitMs = isSafe ? 0 : this.cfg.orderLeaseMs + ORDER_SLACK_MS;
@@ -177,15 +177,15 @@
       this.contactMs = nowMs;
       if (outcome.kind === 'expired') {
         this.next = outcome.firstOffset;
-        this.lease.noteGap(nowMs);
+        this.lease.onGap(nowMs);
         continue;
       }
       this.takeAll(outcome.records, nowMs);
       const isAtEnd = this.next >= outcome.endOffset;
       if (isAtEnd && !this.isCaughtUp) {
         this.isCaughtUp = true;
-        if (this.wasCaughtUp) this.lease.noteContact(nowMs);
-        else if (this.next > 0) this.lease.noteStart(nowMs, Date.now());
+        if (this.wasCaughtUp) this.lease.onReadSucceeded(nowMs);
+        else if (this.next > 0) this.lease.onCaughtUp(nowMs, Date.now());
         this.wasCaughtUp = true;
       }
       if (isAtEnd) await sleep(GATHER_MS);
@@ -214,7 +214,7 @@
     const nowMs = this.clock.now();
     this.checkSuspension(nowMs);
     if (this.isReleased) return;
-    if (!this.isCaughtUp && !this.lease.isNamed()) return;
+    if (!this.isCaughtUp && !this.lease.isNamedHolder()) return;
     const engines = [...this.announcements.keys()];
     const mayClaim = this.canHold();
     const action = this.lease.decide(nowMs, Date.now(), {mayClaim, engines});
@@ -242,12 +242,12 @@
       {at, timeoutMs: APPEND_MS},
     );
     if (outcome.kind !== 'appended') {
-      this.lease.noteNotAppended();
+      this.lease.onAppendFailed();
       return;
     }
     this.contactMs = this.clock.now();
     this.next = Math.max(this.next, outcome.offset + 1);
-    this.lease.noteAppended(record, outcome.offset, this.contactMs);
+    this.lease.onAppended(record, outcome.offset, this.contactMs);
     this.noteChange();
     this.renewals += 1;
     if (this.renewals % TRIM_EVERY === 0) this.trim(outcome.offset);
@@ -262,7 +262,7 @@
     const suspendedMs = this.clock.takeSuspensionMs();
     if (suspendedMs === 0) return;
     this.thawedMs = nowMs;
-    this.lease.distrust();
+    this.lease.invalidate();
     this.logger.log('warn', 'the VM was suspended or its clock was set', {
       driftMs: Math.round(suspendedMs),
     });
--- a/packages/daemon/src/gateway/engines/weight_task.ts
+++ b/packages/daemon/src/gateway/engines/weight_task.ts
@@ -6,10 +6,10 @@
 
 import {setTimeout as sleep} from 'node:timers/promises';
 import type {BatchScheduler} from '@radishyoke/core/batches/batch_scheduler';
-import type {EngineView} from '@radishyoke/core/batches/engine_board';
+import type {EngineView} from '@radishyoke/core/batches/engine_health';
 import type {EndpointEntry} from '@radishyoke/core/fleet/endpoint_entry';
 import type {EndpointRoster} from '@radishyoke/core/fleet/endpoint_roster';
-import {LoadPace} from '@radishyoke/core/fleet/load_pace';
+import {LoadLimiter} from '@radishyoke/core/fleet/load_limiter';
 import {
   computeShare,
   type LoadCandidate,
@@ -100,7 +100,7 @@
   private readonly working = new Map<string, LoadTarget>();
   private readonly restUntilMs = new Map<string, number>();
   private isStopped = false;
-  private readonly pace = new LoadPace();
+  private readonly pace = new LoadLimiter();
   /** Engines that may load at once, by service. */
   private readonly limits = new Map<string, number>();
 
@@ -159,7 +159,7 @@
     const nowMs = performance.now();
     return {
       nowMs,
-      slow: scheduler.board.speeds.listSlow(nowMs),
+      slow: scheduler.engineHealth.speeds.listSlow(nowMs),
       mayOrder: lease.createOrderCheck(),
     };
   }
@@ -198,7 +198,7 @@
     {nowMs, slow, mayOrder}: Moment,
   ): readonly LoadCandidate[] {
     const {scheduler} = this.parts;
-    const {speeds} = scheduler.board;
+    const {speeds} = scheduler.engineHealth;
     return views
       .filter(({id}) => nowMs >= (this.restUntilMs.get(id) ?? 0))
       .map(({id, slots, versions}) => {
@@ -210,7 +210,7 @@
           version: versions.get(model) ?? 0,
           loadingVersion: target?.model === model ? target.version : undefined,
           isBusy: target !== undefined || !mayOrder(id),
-          isSound: !slow.has(id) && !scheduler.board.isTroubled(id),
+          isSound: !slow.has(id) && !scheduler.engineHealth.isFailing(id),
           running: scheduler.countRuns(id, model),
           free: Math.max(slots - running, 0),
           gapMs: speeds.predictGapMs(
@@ -291,7 +291,7 @@
         fleet.noteVersion(entry.id, model, version);
         return 'over';
       case 'fenced':
-        lease.lease.distrust();
+        lease.lease.invalidate();
         return 'over';
       case 'refused':
       case 'misdirected':
@@ -350,12 +350,12 @@
     const endedMs = nowMs - REPORT_BEHIND_MS;
     const limit = this.limits.get(entry.service) ?? 0;
     const isFull = this.working.size >= limit;
-    this.pace.noteLoad({startedMs, endedMs}, limit, isFull);
+    this.pace.recordLoad({startedMs, endedMs}, limit, isFull);
   }
 
   private isOutOfDate(entry: EndpointEntry): boolean {
     const now = this.parts.roster.get(entry.id);
-    return this.isStopped || !now || now.bornMs !== entry.bornMs;
+    return this.isStopped || !now || now.startedAtMs !== entry.startedAtMs;
   }
 
   private async order(target: LoadTarget): Promise<OrderAnswer | 'none'> {
--- a/packages/daemon/src/gateway/gateway.ts
+++ b/packages/daemon/src/gateway/gateway.ts
@@ -15,7 +15,7 @@
 import {BatchRunner} from './batches/batch_runner.js';
 import type {CallerProtocol} from './requests/caller_protocol.js';
 import {ConfigHolder} from './store/config_holder.js';
-import {CrashBook} from '@radishyoke/core/crashes/crash_book';
+import {CrashRegistry} from '@radishyoke/core/crashes/crash_registry';
 import type {ControlApi} from './control/control_api.js';
 import {CrashNews} from './crashes/crash_news.js';
 import {CrashWatch} from './crashes/crash_watch.js';
@@ -136,7 +136,7 @@
       isNamed => this.noteLease(isNamed),
       logger,
     );
-    const book = new CrashBook(Math.random());
+    const book = new CrashRegistry(Math.random());
     this.crashNews = new CrashNews(
       store,
       directory.crashTopic,
--- a/packages/daemon/src/gateway/store/config_holder.ts
+++ b/packages/daemon/src/gateway/store/config_holder.ts
@@ -4,7 +4,7 @@
 import type {
   Admission,
   Caller,
-  Knowledge,
+  ConfigFreshness,
 } from '@radishyoke/core/accounts/client_account';
 import {
   type Configuration,
@@ -56,10 +56,10 @@
    */
   async admit(key: string | undefined, isPublic: boolean): Promise<Admission> {
     if (!this.current) return {kind: 'uncertain'};
-    const first = this.decide({key, isPublic, knowledge: this.measureAge()});
+    const first = this.decide({key, isPublic, freshness: this.measureAge()});
     if (first.kind !== 'uncertain') return first;
     const knowledge = await this.confirm();
-    return this.decide({key, isPublic, knowledge});
+    return this.decide({key, isPublic, freshness: knowledge});
   }
 
   /** Whether what is not in `table` is nowhere: asks the log. */
@@ -77,7 +77,7 @@
     return this.current?.accounts.admit(query) ?? {kind: 'uncertain'};
   }
 
-  private async confirm(): Promise<Knowledge> {
+  private async confirm(): Promise<ConfigFreshness> {
     if (!this.source) return 'current';
     const isRead = await Promise.race([
       this.source.catchUp(),
@@ -86,7 +86,7 @@
     return isRead ? 'current' : this.measureAge();
   }
 
-  private measureAge(): Knowledge {
+  private measureAge(): ConfigFreshness {
     const silentMs = this.source?.measureSilenceMs() ?? 0;
     return silentMs > this.maxKeyAgeMs ? 'expired' : 'behind';
   }
--- a/packages/daemon/src/gateway/usage/usage_meter.ts
+++ b/packages/daemon/src/gateway/usage/usage_meter.ts
@@ -44,7 +44,7 @@
   /** An endpoint began a request of the caller at `unixMs`. */
   note(caller: Caller, unixMs: number): void {
     if (caller.kind !== 'account') return;
-    this.tally.note(caller.name, unixMs);
+    this.tally.record(caller.name, unixMs);
     this.writing ??= this.writeAll().finally(() => (this.writing = undefined));
   }
 
--- a/packages/daemon/src/gateway/usage/usage_task.ts
+++ b/packages/daemon/src/gateway/usage/usage_task.ts
@@ -5,7 +5,7 @@
  * or a successor, is the same.
  */
 
-import {ReportBook} from '@radishyoke/core/usage/report_book';
+import {ReportTracker} from '@radishyoke/core/usage/report_tracker';
 import {UsageLedger} from '@radishyoke/core/usage/usage_ledger';
 import {
   findWindow,
@@ -70,7 +70,7 @@
 
 export class UsageTask {
   private readonly ledger = new UsageLedger();
-  private readonly book = new ReportBook();
+  private readonly book = new ReportTracker();
   private readonly reports: LogTail;
   private readonly counts: readonly LogTail[];
   /** First offset of each partition of counts that a window that is still open needs. */
