--- a/packages/core/src/accounts/__tests__/account_directory.spec.ts
+++ b/packages/core/src/accounts/__tests__/account_directory.spec.ts
@@ -23,19 +23,19 @@
   isPublic: boolean,
   freshness: ConfigFreshness,
 ): string {
-  const admission = directory.admit({key, isPublic, freshness: freshness});
+  const admission = directory.admit({key, isPublic, freshness});
   if (admission.kind !== 'admitted') return admission.kind;
   const {caller} = admission;
   return caller.kind === 'account' ? caller.name : caller.kind;
 }
 
-test('any key of an account names it', t => {
+test('any key of an account identifies it', t => {
   t.is(admit('key-a1', false, 'current'), 'alpha');
   t.is(admit('key-a2', false, 'current'), 'alpha');
   t.is(admit('key-b1', false, 'current'), 'beta');
 });
 
-test('a configuration without accounts asks for no key', t => {
+test('a configuration without accounts requires no key', t => {
   const none = new AccountDirectory(undefined);
   t.is(describe(none, undefined, false, 'current'), 'unchecked');
   t.is(describe(none, 'key-a1', false, 'expired'), 'unchecked');
@@ -45,44 +45,44 @@
   t.is(admit('key-a1', false, 'current', []), 'refused');
 });
 
-test('guards against a request that runs without an account', t => {
+test('a request without a valid key is refused', t => {
   t.is(admit(undefined, false, 'current'), 'refused');
   t.is(admit('', false, 'current'), 'refused');
   t.is(admit('key-a', false, 'current'), 'refused');
   t.is(admit('__proto__', false, 'current'), 'refused');
 });
 
-test('a public rule asks for no key, and a key that is known names its account', t => {
+test('a public rule requires no key, and a known key identifies its account', t => {
   t.is(admit(undefined, true, 'current'), 'anonymous');
   t.is(admit('nobody', true, 'behind'), 'anonymous');
   t.is(admit('key-b1', true, 'current'), 'beta');
 });
 
-test('guards against a final refusal by a VM that is behind', t => {
+test('a VM with an outdated configuration sends no final refusal', t => {
   t.is(admit('key-new', false, 'behind'), 'uncertain');
   t.is(admit(undefined, false, 'behind'), 'uncertain');
   t.is(admit('key-a1', false, 'behind'), 'alpha');
 });
 
-test('guards against a key that is served long after it may have been taken away', t => {
+test('an expired configuration admits no key, as it may have been revoked', t => {
   t.is(admit('key-a1', false, 'expired'), 'uncertain');
   t.is(admit('key-new', false, 'expired'), 'uncertain');
   t.is(admit(undefined, true, 'expired'), 'anonymous');
 });
 
-test('guards against an account that reads the batches of another', t => {
+test('an account may not read the batches of another one', t => {
   t.true(isOwner({kind: 'account', name: 'alpha'}, 'alpha'));
   t.false(isOwner({kind: 'account', name: 'beta'}, 'alpha'));
   t.false(isOwner({kind: 'anonymous'}, 'alpha'));
 });
 
-test('a batch that nobody owns is open to all, and so is any without accounts', t => {
+test('a batch without an owner is open to all, and so is any without accounts', t => {
   t.true(isOwner({kind: 'anonymous'}, undefined));
   t.true(isOwner({kind: 'account', name: 'beta'}, undefined));
   t.true(isOwner({kind: 'unchecked'}, 'alpha'));
 });
 
-test('work goes on in the name of the account that it was accepted for', t => {
+test('work continues in the name of the account that it was accepted for', t => {
   const directory = new AccountDirectory(ACCOUNTS);
   t.deepEqual(directory.describeOwner('gone'), {kind: 'account', name: 'gone'});
   t.deepEqual(directory.describeOwner(undefined), {kind: 'anonymous'});
--- a/packages/core/src/accounts/account_directory.ts
+++ b/packages/core/src/accounts/account_directory.ts
@@ -1,4 +1,7 @@
-/** Finds the account of a key. The cost of a look-up does not grow with accounts. */
+/**
+ * Finds the account of a key; the cost of a lookup does not depend on the
+ * number of accounts.
+ */
 
 import type {
   Admission,
@@ -7,11 +10,11 @@
   ConfigFreshness,
 } from './client_account.js';
 
-/** What is asked of one request. */
+/** A request to be admitted. */
 export interface AdmissionQuery {
-  /** As the caller sent it; undefined where it sent none. */
+  /** Key sent by the caller; undefined if it sent none. */
   readonly key: string | undefined;
-  /** Whether its rule asks for no key. */
+  /** Whether the request's rule requires no key. */
   readonly isPublic: boolean;
   readonly freshness: ConfigFreshness;
 }
@@ -19,7 +22,7 @@
 export class AccountDirectory {
   private readonly byKey = new Map<string, ClientAccount>();
 
-  /** @param accounts Undefined where the configuration knows no accounts. */
+  /** @param accounts Undefined if the configuration has no accounts. */
   constructor(private readonly accounts: readonly ClientAccount[] | undefined) {
     for (const account of accounts ?? []) {
       for (const key of account.keys) this.byKey.set(key, account);
@@ -32,9 +35,10 @@
   }
 
   /**
-   * Decides whose request it is. A refusal is final for a caller, so it takes
-   * knowledge of the newest version; a key that is known goes on being served
-   * by a VM that is out of touch, unless the operator bounds that.
+   * Decides to which account a request belongs. A refusal is final for the
+   * caller, so it requires the newest configuration. A VM without current
+   * configuration continues to serve known keys, unless the operator limits
+   * that.
    */
   admit({key, isPublic, freshness}: AdmissionQuery): Admission {
     if (!this.isEnabled) return admitAs({kind: 'unchecked'});
@@ -45,7 +49,10 @@
     return {kind: freshness === 'current' ? 'refused' : 'uncertain'};
   }
 
-  /** In whose name work goes on that was accepted for the account, if for any. */
+  /**
+   * Returns in whose name accepted work continues, given the account it was
+   * accepted for.
+   */
   describeOwner(account: string | undefined): Caller {
     if (account !== undefined) return {kind: 'account', name: account};
     return {kind: this.isEnabled ? 'anonymous' : 'unchecked'};
@@ -53,8 +60,9 @@
 }
 
 /**
- * Whether `caller` may read and end what was accepted for `owner`. What nobody
- * owns is open to all: it came by a public rule, or before there were accounts.
+ * Whether `caller` may read and end work that was accepted for `owner`. Work
+ * without an owner is open to all: a public rule admitted it, or there were no
+ * accounts yet.
  */
 export function isOwner(caller: Caller, owner: string | undefined): boolean {
   if (owner === undefined || caller.kind === 'unchecked') return true;
--- a/packages/core/src/accounts/client_account.ts
+++ b/packages/core/src/accounts/client_account.ts
@@ -1,35 +1,38 @@
-/** Client accounts of the configuration, and who a caller is by them. */
+/** Client accounts of the configuration, and the identity of callers. */
 
 /** A trainer or app whose requests are accounted for together. */
 export interface ClientAccount {
   readonly name: string;
-  /** Secrets that its requests carry; any one of them is enough. */
+  /** Secrets of which a request must carry one. */
   readonly keys: readonly string[];
-  /** Goes before the priority of a rule; 0 is the most urgent. */
+  /** Overrides the priority of a rule; 0 is the most urgent. */
   readonly priority?: number;
 }
 
-/** Who sent a request, as far as the configuration tells. */
+/** Sender of a request, according to the configuration. */
 export type Caller =
-  /** The configuration has no accounts: nobody is asked for a key. */
+  /** The configuration has no accounts, so no key is required. */
   | {readonly kind: 'unchecked'}
-  /** Admitted by a public rule, without a key that an account holds. */
+  /** Admitted by a public rule without a valid key. */
   | {readonly kind: 'anonymous'}
   | {readonly kind: 'account'; readonly name: string};
 
-/** Whether a request is admitted, and as whose. */
+/** Whether a request is admitted, and for whom. */
 export type Admission =
   | {readonly kind: 'admitted'; readonly caller: Caller}
-  /** No account holds the key: final for the caller. */
+  /** No account has the key; final for the caller. */
   | {readonly kind: 'refused'}
-  /** This VM's configuration may be behind: another one may know the key. */
+  /** This VM's configuration may be outdated: a newer one may have the key. */
   | {readonly kind: 'uncertain'};
 
-/** How far a VM may rely on the configuration that it knows. */
+/** How far a VM may rely on its configuration. */
 export type ConfigFreshness =
-  /** It has read all versions there were a moment ago. */
+  /** It had read all existing versions a moment ago. */
   | 'current'
-  /** A newer version may stand in the log. */
+  /** The log may have a newer version. */
   | 'behind'
-  /** So far behind that keys may have been taken away longer ago than the operator allows. */
+  /**
+   * So outdated that keys may have been revoked longer ago than the operator
+   * allows.
+   */
   | 'expired';
--- a/packages/core/src/batches/__tests__/batch_fixtures.ts
+++ b/packages/core/src/batches/__tests__/batch_fixtures.ts
@@ -1,4 +1,4 @@
-/** Builders of batches, records and engines for tests. */
+/** Fixtures of batches, records and engines for tests. */
 
 import type {OpenBatchTerms, Run} from '../batch_job.js';
 import {BatchIndex} from '../batch_index.js';
@@ -55,7 +55,7 @@
   };
 }
 
-/** What a coordinator would know of batches after reading these records. */
+/** The state that a coordinator has after reading the given records. */
 export class FixtureLog {
   readonly index = new BatchIndex();
   private readonly folds = new Map<string, ProgressFold>();
@@ -90,7 +90,7 @@
   return {kind: 'accepted', header, itemIds, payload: []};
 }
 
-/** The record that lists `result`. */
+/** Creates the record that lists `result`. */
 export function listResult(
   batchId: string,
   {itemId, state, versions}: ItemResult,
@@ -145,7 +145,9 @@
   ): void;
 }
 
-/** A scheduler with engines, and a log that its batches go through. */
+/**
+ * Creates a scheduler with engines, and a log that its batches pass through.
+ */
 export function createSchedule(
   engines: readonly EngineView[],
 ): ScheduleFixture {
@@ -168,14 +170,14 @@
   };
 }
 
-/** The runs that `actions` start. */
+/** Returns the runs that `actions` start. */
 export function listStarts(actions: readonly ScheduleAction[]): readonly Run[] {
   return actions.flatMap(action =>
     action.kind === 'start' ? [action.run] : [],
   );
 }
 
-/** The runs that `actions` stop, with the reasons. */
+/** Returns the runs that `actions` stop, with the reasons. */
 export function listStops(
   actions: readonly ScheduleAction[],
 ): ReadonlyArray<readonly [Run, string]> {
--- a/packages/core/src/batches/__tests__/batch_index.spec.ts
+++ b/packages/core/src/batches/__tests__/batch_index.spec.ts
@@ -6,7 +6,7 @@
 
 const BATCH = createBatch('b0', ['g0a', 'g0b', 'g1a']);
 
-/** A record that lists `itemId` with the text at `offset`. */
+/** Creates a record that lists `itemId` with its text at `offset`. */
 function list(itemId: string, offset = 0): IndexRecord {
   return listResult(
     'b0',
@@ -21,10 +21,11 @@
   return index;
 }
 
-// A trainer reads two results of one item.
-// 1. A holder lists an item and loses its lease before it reads the record.
+// Guards against a trainer that reads two results of one item.
+// 1. A lease holder lists an item and loses its lease before it reads the
+//    record back.
 // 2. The next holder runs the item again and lists it with another text.
-// Cause: both results stand in the log.
+// Both results are then in the log.
 test('the first result of an item counts', t => {
   const index = createIndex();
   t.is(index.apply(list('g0a', 1))?.kind, 'listed');
@@ -37,7 +38,7 @@
   );
 });
 
-test('a batch that is accepted again changes nothing, ended or not', t => {
+test('accepting a batch again changes nothing, even after it ended', t => {
   const index = createIndex();
   index.apply(list('g0a'));
   index.apply({kind: 'ended', batchId: 'b0'});
@@ -53,7 +54,7 @@
   t.is(index.apply(list('g9z')), undefined);
 });
 
-test('positions never change and no item has two, whatever is repeated', t => {
+test('positions never change and no item has two, whichever records are repeated', t => {
   const items = BATCH.items.map(({id}) => id);
   const record = fc.oneof(
     fc
@@ -79,7 +80,7 @@
   );
 });
 
-test('batches are forgotten when nobody can ask for them any more', t => {
+test('batches submitted before the given time are dropped', t => {
   const index = createIndex();
   index.forget(0);
   t.truthy(index.get('b0'));
@@ -87,7 +88,7 @@
   t.is(index.get('b0'), undefined);
 });
 
-test('failed reward calls are counted for whoever takes over', t => {
+test('failed reward calls are counted for a coordinator that takes over', t => {
   const index = createIndex();
   index.apply({kind: 'reward_failed', batchId: 'b0', itemId: 'g0a'});
   index.apply({kind: 'reward_failed', batchId: 'b0', itemId: 'g0a'});
--- a/packages/core/src/batches/__tests__/batch_scheduler.spec.ts
+++ b/packages/core/src/batches/__tests__/batch_scheduler.spec.ts
@@ -12,7 +12,7 @@
   MODEL,
 } from './batch_fixtures.js';
 
-test('the longest items of the groups that are needed start first', t => {
+test('the longest items of the needed groups start first', t => {
   const {scheduler, open} = createSchedule([createEngine('e0', {slots: 3})]);
   const batch = createBatch('b0', [], {
     groupsWanted: 2,
@@ -28,7 +28,7 @@
   t.deepEqual(started, ['g0b', 'g1a', 'g0a']);
 });
 
-test('an item goes on after its last event when its connection breaks', t => {
+test('an item resumes after its last event when its connection breaks', t => {
   const {scheduler, open} = createSchedule([createEngine('e0')]);
   open(createBatch('b0', ['g0a']));
   const [run] = listStarts(scheduler.decide(0));
@@ -50,10 +50,10 @@
   t.false(scheduler.onEvent(run, createEvent(3, run.id), 20));
 });
 
-// A trainer gets samples of weights that are too old.
-// 1. The list says version 3; the engine restarts with version 2.
-// 2. The output arrives whole, made under version 2.
-// Cause: the list's word is older than the engine.
+// Guards against a trainer that gets samples of weights that are too old.
+// 1. The list reports version 3; the engine restarts with version 2.
+// 2. Its complete output arrives, generated with version 2.
+// The engine's entry in the list is older than its restart.
 test('output of weights that are too old is not used', t => {
   const versions = new Map([[MODEL, 3]]);
   const {scheduler, open} = createSchedule([createEngine('e0', {versions})]);
@@ -76,10 +76,10 @@
   t.deepEqual(scheduler.decide(0), []);
 });
 
-// Items of a trainer end with an engine that is taken away.
+// Guards against items that are lost with an engine that is removed.
 // 1. Items run on two engines; one of them leaves the list.
-// 2. Its items must go on elsewhere, and new ones must not reach it.
-test('an engine that left the list gets no item and gives up its own', t => {
+// 2. Its items must resume elsewhere, and it must get no new ones.
+test('an engine that left the list gets no item and its items move', t => {
   const engines = [createEngine('leaving'), createEngine('staying')];
   const {scheduler, open} = createSchedule(engines);
   open(createBatch('b0', ['g0a', 'g1a']));
@@ -93,11 +93,11 @@
   t.deepEqual(started, ['staying']);
 });
 
-// A step is as late as the items on one engine that turned slow.
+// Guards against a step that is delayed by one engine that became slow.
 // 1. Items run on two engines; one becomes four times slower.
-// 2. Its liveness check passes, and its items take four times as long.
-// Cause: nothing but its output tells.
-test('items move from an engine that has become slow to a free place', t => {
+// 2. Its liveness check still passes, so only the gaps between its events show
+//    it.
+test('items move from an engine that has become slow to a free slot', t => {
   const engines = [createEngine('fast'), createEngine('slow')];
   const {scheduler, open} = createSchedule(engines);
   open(createBatch('b0', ['g0a', 'g1a']));
@@ -116,10 +116,10 @@
   t.is(moved.job.transcript.lastEventId, 9);
 });
 
-// All items of an engine hang with it.
-// 1. An engine goes dark: connections stay open, nothing comes.
-// Cause: without a reset nothing tells but the silence of all its runs.
-test('an engine whose runs are all silent is left', t => {
+// Guards against items that hang with their engine.
+// 1. An engine stops responding: connections stay open, nothing arrives.
+// 2. No connection is reset, so only the silence of all its runs shows it.
+test('the runs of an engine are stopped when all of them are silent', t => {
   const {scheduler, open} = createSchedule([createEngine('dark')]);
   open(createBatch('b0', ['g0a', 'g0b']));
   const runs = listStarts(scheduler.decide(0));
@@ -129,15 +129,15 @@
     ['engine_silent', 'engine_silent'],
   );
   for (const run of runs) scheduler.onRunEnd(run, 'stopped', 811);
-  t.deepEqual(scheduler.decide(820), [], 'it rests');
-  t.is(listStarts(scheduler.decide(2100)).length, 2, 'and is tried again');
+  t.deepEqual(scheduler.decide(820), [], 'the engine pauses');
+  t.is(listStarts(scheduler.decide(2100)).length, 2, 'and gets items again');
 });
 
-// One item takes down one engine after the other.
-// 1. An engine that begins to run it crashes; the connection breaks.
-// 2. It is retried at the next engine, which crashes too.
-// Cause: a retry that takes every break for the engine's fault.
-test('an item that breaks off early again and again pauses', t => {
+// Guards against an item that takes down one engine after another.
+// 1. An engine crashes when it starts the item; the connection breaks.
+// 2. The item is retried on the next engine, which crashes too.
+// The retries took every break for the engine's own fault.
+test('an item pauses after repeated early breaks', t => {
   const engines = [0, 1, 2, 3, 4].map(i => createEngine(`e${i}`));
   const {scheduler, open} = createSchedule(engines);
   open(createBatch('b0', ['g0a']));
@@ -149,11 +149,11 @@
   t.is(listStarts(scheduler.decide(15_300)).length, 1);
 });
 
-// A step waits 15 s for an item that did nothing wrong.
-// 1. An engine makes part of its output and breaks off.
-// 2. Three engines after it break off too before they make an event.
-// Cause: an item that has made output taken for one that crashes engines.
-test('an item with output may break off more often before it is suspected', t => {
+// Guards against a step that waits 15 s for an item that crashes nothing.
+// 1. An engine generates part of the output and its connection breaks.
+// 2. The connections of three more engines break before their first event.
+// The item was suspected although it had output.
+test('an item with output is suspected only after more early breaks', t => {
   const engines = [0, 1, 2, 3, 4, 5, 6].map(i => createEngine(`e${i}`));
   const {scheduler, open} = createSchedule(engines);
   open(createBatch('b0', ['g0a']));
@@ -166,11 +166,11 @@
   }
   const [sixth] = listStarts(scheduler.decide(120));
   scheduler.onRunEnd(sixth, 'broken', 130);
-  t.deepEqual(scheduler.decide(2000), [], 'now it is');
+  t.deepEqual(scheduler.decide(2000), [], 'suspected after the sixth break');
 });
 
 // Guards against an item that fails everywhere being run anew in each batch.
-test('an item that failed in the batches before is given up after fewer attempts', t => {
+test('an item that failed in earlier batches is given up after fewer attempts', t => {
   const {scheduler, open} = createSchedule([createEngine('e0')]);
   const failed = new Map([
     ['g0a', {failures: 0, rejections: 3}],
@@ -191,7 +191,7 @@
   t.like(second, {kind: 'list', reason: 'failed_in_earlier_batches'});
 });
 
-test('an item is given up after its attempts, and at once if it can never be done', t => {
+test('an item is given up after its attempts, and at once if it is impossible', t => {
   const {scheduler, open} = createSchedule([createEngine('e0')]);
   open(createBatch('b0', ['g0a', 'g1a']), createTerms({attempts: 2}));
   const [first, second] = listStarts(scheduler.decide(0));
@@ -213,10 +213,10 @@
   t.like(scheduler.decide(1001)[0], {reason: 'retention_over'});
 });
 
-// A trainer waits for groups that it asked for before.
-// 1. A step ends with one group incomplete; its text so far is kept.
-// 2. The next step asks for the group again.
-test('a group that comes again goes on from its text and goes first', t => {
+// Guards against a trainer that waits for groups that it requested before.
+// 1. A step ends with one group incomplete; its output so far is retained.
+// 2. The next step requests the group again.
+test('a group that is requested again resumes from its output and goes first', t => {
   const {scheduler, open} = createSchedule([createEngine('e0', {slots: 1})]);
   open(createBatch('b0', ['g0a']));
   const [run] = listStarts(scheduler.decide(0));
@@ -230,7 +230,7 @@
   t.is(again.job.transcript.lastEventId, 1);
 });
 
-test('a result of an earlier batch is used again if its versions fit', t => {
+test('a result of an earlier batch is reused if its versions are allowed', t => {
   const {scheduler, open} = createSchedule([createEngine('e0')]);
   open(createBatch('b0', ['g0a']));
   const [run] = listStarts(scheduler.decide(0));
@@ -243,7 +243,7 @@
   t.deepEqual(scheduler.decide(40), []);
 });
 
-test('a run of a group that is not needed makes way', t => {
+test('a run of a surplus group is stopped to make room', t => {
   const {scheduler, open} = createSchedule([createEngine('e0', {slots: 2})]);
   const needed = createItem('g0a', {expectedOutputTokens: 5});
   const surplus = createItem('g1a', {expectedOutputTokens: 500});
@@ -273,16 +273,16 @@
   t.is(again.job.transcript.events.length, 0);
 });
 
-// All runs of an engine pause for a second in the middle of a step.
-// 1. New weights are named while a step has long items running.
-// 2. Their engine must load, since the next step can not be served without.
+// Guards against a step whose runs all pause for a second.
+// 1. New weights are published while a step has long items running.
+// 2. Their engine has to load, as the next step can not be served otherwise.
 test('items move away from an engine that is about to load', t => {
   const {scheduler, open} = createSchedule([createEngine('e0')]);
   open(createBatch('b0', ['g0a', 'g0b']));
   const runs = listStarts(scheduler.decide(0));
   const loading = createEngine('e0', {loading: new Set([MODEL])});
   scheduler.setEngines([loading]);
-  t.deepEqual(scheduler.decide(10), [], 'without another place they stay');
+  t.deepEqual(scheduler.decide(10), [], 'without another engine they stay');
   scheduler.setEngines([loading, createEngine('e1')]);
   const stops = listStops(scheduler.decide(20));
   t.deepEqual(
@@ -297,25 +297,25 @@
   );
 });
 
-// Two groups take each other's places and none is finished.
+// Guards against two groups that alternate so that neither is finished.
 // 1. A trainer waits for one of two groups of about the same length.
-// 2. Each event makes the group that runs look closer to its end, then not.
-test('the choice between two equal groups stays', t => {
+// 2. Each event changes which of them looks closer to completion.
+test('the choice between two equal groups is stable', t => {
   const {scheduler, open} = createSchedule([createEngine('e0', {slots: 1})]);
   const items = ['g0a', 'g1a'].map(id =>
     createItem(id, {expectedOutputTokens: 20}),
   );
   open(createBatch('b0', [], {groupsWanted: 1, items}));
   const [run] = listStarts(scheduler.decide(0));
-  // It outgrows its guess and is now expected to be as long again.
+  // Beyond its estimate the item is expected to become twice as long as it is.
   for (let i = 0; i < 21; i++) {
     scheduler.onEvent(run, createEvent(i, run.id), i * 50);
     t.deepEqual(listStops(scheduler.decide(i * 50)), []);
   }
 });
 
-/** Shows the scheduler engines that need `gapsMs` for an event. */
-function showPaces(
+/** Records event gaps of `gapsMs` for engines, by engine id. */
+function recordPaces(
   scheduler: BatchScheduler,
   gapsMs: Readonly<Record<string, number>>,
 ): void {
@@ -326,29 +326,31 @@
   }
 }
 
-// A step is late by its longest item, which ran on the slowest engine.
-// 1. Engines differ by a third, the faster one has four runs more.
+// Guards against a step that is delayed by its longest item on the slowest
+// engine.
+// 1. Engine speeds differ by a third; the faster engine has four runs more.
 // 2. The longest item goes to the engine with fewer runs.
-// Cause: places compared by their number of runs alone.
-test('an item goes where its events will come soonest, not where fewest run', t => {
+// Engines were compared by their number of runs alone.
+test('an item goes to the engine with the shortest event gap, not the fewest runs', t => {
   const engines = ['near', 'fast'].map(id => createEngine(id, {slots: 16}));
   const {scheduler, open} = createSchedule(engines);
-  showPaces(scheduler, {near: 45, fast: 34});
+  recordPaces(scheduler, {near: 45, fast: 34});
   open(createBatch('b0', ['g0a', 'g1a', 'g2a', 'g3a', 'g4a']));
   const starts = listStarts(scheduler.decide(500));
   t.deepEqual([...new Set(starts.map(({engineId}) => engineId))], ['fast']);
 });
 
-// A trainer waits for one item while fast engines have room.
+// Guards against a trainer that waits for one item while fast engines have
+// room.
 // 1. A step fills all engines; its longest item is on a slower one.
-// 2. Short items end and leave places on the fast engine.
-test('the longest runs move to faster engines as these become free', t => {
+// 2. Short items end and leave free slots on the fast engine.
+test('the longest runs move to faster engines as slots become free there', t => {
   const engines = [
     createEngine('slow', {slots: 2}),
     createEngine('fast', {slots: 2}),
   ];
   const {scheduler, open} = createSchedule(engines);
-  showPaces(scheduler, {slow: 45, fast: 34});
+  recordPaces(scheduler, {slow: 45, fast: 34});
   const [first, second, longest] = [300, 300, 400].map((length, i) =>
     createItem(`g${i}a`, {expectedOutputTokens: length}),
   );
@@ -360,7 +362,11 @@
   for (const run of [early, other, late]) {
     scheduler.onEvent(run, createEvent(0, run.id), 1300);
   }
-  t.deepEqual(listStops(scheduler.decide(1400)), [], 'no room there');
+  t.deepEqual(
+    listStops(scheduler.decide(1400)),
+    [],
+    'no free slot on the fast engine',
+  );
   scheduler.onEvent(early, createEvent(1, early.id), 1335);
   scheduler.onRunEnd(early, 'finished', 1510);
   t.deepEqual(listStops(scheduler.decide(1700)), [[late, 'engine_outrun']]);
--- a/packages/core/src/batches/__tests__/batch_state.spec.ts
+++ b/packages/core/src/batches/__tests__/batch_state.spec.ts
@@ -29,7 +29,7 @@
   return log;
 }
 
-test('output that was stored is there for whoever goes on', t => {
+test('stored output is available to a coordinator that takes over', t => {
   const log = createLog();
   const events = [createEvent(1, 'a'), createEvent(2, 'a')];
   log.applyProgress({...ITEM, events});
@@ -40,38 +40,43 @@
   log.apply(listResult('b0', RESULT));
   const listed = log.get('b0').items.get('g0a')!;
   t.true(listed.isListed);
-  t.is(listed.transcript.events.length, 0, 'what is listed is not run again');
+  t.is(listed.transcript.events.length, 0, 'a listed item is not run again');
 });
 
-// A step waits for a text that was made already.
-// 1. A coordinator writes the last event of a text down, marked as such, and
-//    goes while the score is under way.
-// 2. Its successor must go on with the score, unless the text went on otherwise.
-test('a text is whole only where its mark stands behind what is known', t => {
+// Guards against a step that waits for output that already exists.
+// 1. A coordinator stores the last event of an item, marked as the end, and
+//    stops while the score is pending.
+// 2. Its successor must only request the score, unless another run continued
+//    the output differently.
+test('output is complete only if its end mark follows the stored events', t => {
   const fold = new ProgressFold('b0');
   fold.apply({...ITEM, events: [createEvent(1, 'a')]});
   const transcript = fold.transcripts.get('g0a')!;
   const other = [createEvent(2, 'b')];
   fold.apply({...ITEM, afterRun: 'b', events: other, isWhole: true});
-  t.false(transcript.isComplete, 'the mark belongs to a text of another run');
+  t.false(
+    transcript.isComplete,
+    'the mark belongs to the output of another run',
+  );
   const last = [createEvent(2, 'a')];
   fold.apply({...ITEM, afterRun: 'a', events: last, isWhole: true});
   t.true(transcript.isComplete);
   fold.apply({...ITEM, afterRun: 'a', events: other});
-  t.false(transcript.isComplete, 'another run went on from event 1');
+  t.false(transcript.isComplete, 'another run continued from event 1');
 });
 
-test('progress of other batches is left out', t => {
+test('progress of other batches is ignored', t => {
   const fold = new ProgressFold('b0');
   const events = [createEvent(1, 'a')];
   fold.apply({batchId: 'b1', itemId: 'g0a', events});
   t.is(fold.transcripts.size, 0);
 });
 
-// A later step gives a trainer a text that differs from the one it has read.
+// Guards against a text that differs from the one the trainer has read.
 // 1. Two coordinators list one item, each with its own text; the first counts.
-// 2. The item comes again in the next step, at the one whose text is void.
-test('a text that does not stand in the log is not used again', t => {
+// 2. The next step requests the item again, from the coordinator whose result
+//    is void.
+test('a text that is not in the log is not reused', t => {
   for (const isOwn of [true, false]) {
     const {scheduler, open} = createSchedule([createEngine('e0')]);
     open(createBatch('b0', ['g0a']));
@@ -88,10 +93,11 @@
   }
 });
 
-// A step is made anew though most of it stands in the log.
-// 1. A coordinator lists an item of a group that stays incomplete, and goes.
-// 2. The group comes again in the next step, at its successor, which has read
-//    the ended batch with the texts of its results.
+// Guards against a step that is generated again although most of it is in the
+// log.
+// 1. A coordinator lists an item of a group that stays incomplete, and stops.
+// 2. The next step requests the group from its successor, which has read the
+//    ended batch with the texts of its results.
 test('a successor uses results of an ended batch whose texts it has read', t => {
   const log = createLog();
   log.apply(listResult('b0', RESULT));
--- a/packages/core/src/batches/__tests__/earlier_batches.spec.ts
+++ b/packages/core/src/batches/__tests__/earlier_batches.spec.ts
@@ -11,7 +11,7 @@
   readonly isOpen?: boolean;
 }
 
-/** An index of steps, one a second. */
+/** Creates an index of steps that were submitted one second apart. */
 function createSteps(steps: readonly Step[]): readonly IndexedBatch[] {
   const index = new BatchIndex();
   for (const [i, {id, items, extra, isOpen}] of steps.entries()) {
@@ -41,7 +41,7 @@
   t.deepEqual(listIds(steps), ['b0', 'b2']);
 });
 
-test('batches of other models, open ones and those long over are left out', t => {
+test('batches of other models, open ones and old ones are left out', t => {
   const steps: readonly Step[] = [
     {id: 'old', items: ['g0a']},
     {id: 'b1', items: ['g1a']},
@@ -55,7 +55,7 @@
 });
 
 // Guards against an item that fails everywhere being run anew in each batch.
-test('failures of an item are counted over all batches before', t => {
+test('failures of an item are summed over all earlier batches', t => {
   const index = new BatchIndex();
   const steps = ['b0', 'b1', 'b2'];
   for (const [i, id] of steps.entries()) {
--- a/packages/core/src/batches/__tests__/run_table.spec.ts
+++ b/packages/core/src/batches/__tests__/run_table.spec.ts
@@ -11,7 +11,7 @@
 const ENGINES = ['e0', 'e1'];
 const MODELS = ['m0', 'm1', 'm2'];
 
-test('counts are those of the runs that go on, whatever the order of starts and ends', t => {
+test('counts match the current runs, whatever the order of starts and ends', t => {
   const steps = fc.array(
     fc.record({
       engineId: fc.constantFrom(...ENGINES),
@@ -46,7 +46,7 @@
   );
 });
 
-test('a run that is over is counted out once', t => {
+test('a run is removed from the counts only once', t => {
   const table = new RunTable();
   const run = createRun(0, 'e0', 'm0');
   table.add(run);
--- a/packages/core/src/batches/__tests__/transcript.spec.ts
+++ b/packages/core/src/batches/__tests__/transcript.spec.ts
@@ -8,7 +8,7 @@
   return text;
 }
 
-test('an event that does not follow is not taken', t => {
+test('an event that does not follow the last one is rejected', t => {
   const text = createText([4, 5], 'a');
   t.false(text.append(createEvent(5, 'a')));
   t.false(text.append(createEvent(7, 'a')));
@@ -16,11 +16,11 @@
   t.is(text.joinOutput(), '4\n5\n6');
 });
 
-// A trainer gets a text that no engine made.
+// Guards against output that no single engine generated.
 // 1. VMs a and b run one item at once, each from event 3 of an earlier run.
-// 2. Both write down what they made; the ids of the events are the same.
-// Cause: texts joined by event number alone.
-test('events of a run join only the text that this run went on from', t => {
+// 2. Both store their events, with the same ids.
+// Events were joined by id alone.
+test('events of a run are joined only to the output that the run resumed', t => {
   const text = createText([1, 2, 3], 'first');
   t.true(text.join('first', [createEvent(4, 'a'), createEvent(5, 'a')]));
   t.false(text.join('b', [createEvent(6, 'b')]));
@@ -33,13 +33,13 @@
   t.false(text.join('a', [createEvent(6, 'a')]));
 });
 
-test('events that begin a text replace what is there', t => {
+test('events that start the output replace the stored ones', t => {
   const text = createText([1, 2, 3], 'old');
   t.true(text.join(undefined, [createEvent(1, 'new')]));
   t.is(text.events.length, 1);
 });
 
-test('a text fits where its versions do', t => {
+test('output satisfies a requirement if its versions do', t => {
   const text = new Transcript();
   text.append(createEvent(1, 'a', 6));
   t.true(text.satisfies({minVersion: 6, singleVersion: true}));
@@ -50,7 +50,7 @@
   t.false(text.satisfies({minVersion: 6, singleVersion: true}));
 });
 
-test('a text is whole until an event is added or it is dropped', t => {
+test('output is complete until an event is added or it is cleared', t => {
   const text = createText([1, 2], 'a');
   t.false(text.isComplete);
   text.finish();
--- a/packages/core/src/batches/__tests__/trim_tracker.spec.ts
+++ b/packages/core/src/batches/__tests__/trim_tracker.spec.ts
@@ -3,7 +3,10 @@
 import {TrimTracker} from '../trim_tracker.js';
 
 const RETENTION_MS = 60_000;
-/** Marks are a sixth of the time apart, and a record may just have missed one. */
+/**
+ * Samples are a sixth of the retention apart, and a record may just have missed
+ * one.
+ */
 const SLACK_MS = RETENTION_MS / 3;
 
 interface Trim {
@@ -12,7 +15,10 @@
   readonly writtenMs: readonly number[];
 }
 
-/** Writes a record after each of `waits` and returns what stands each time. */
+/**
+ * Appends a record after each of `waits` and returns the state after each
+ * append.
+ */
 function writeAll(waits: readonly number[]): readonly Trim[] {
   const tracker = new TrimTracker(RETENTION_MS);
   const writtenMs: number[] = [];
@@ -26,7 +32,7 @@
   });
 }
 
-test('nothing is trimmed that is younger than the kept time', t => {
+test('no record is trimmed within its retention', t => {
   const waits = fc.array(fc.nat({max: 40_000}), {maxLength: 60});
   fc.assert(
     fc.property(waits, each =>
@@ -39,10 +45,10 @@
   t.pass();
 });
 
-// The log refuses every append, for all who use it.
-// 1. Steps are written for as long as the log's own retention lasts.
-// 2. They take more room than the log has in all.
-test('under steady writing nothing much older stays', t => {
+// Guards against a full log, which refuses every append of all its users.
+// 1. Records are stored for as long as the log's own retention lasts.
+// 2. They take more space than the log has in total.
+test('under steady writing no record much older than the retention stays', t => {
   const steps = writeAll(Array.from({length: 3000}, () => 100));
   for (const {nowMs, first, writtenMs} of steps) {
     t.true(nowMs - writtenMs[first] <= RETENTION_MS + SLACK_MS);
--- a/packages/core/src/batches/batch_index.ts
+++ b/packages/core/src/batches/batch_index.ts
@@ -1,11 +1,11 @@
 /**
- * Folds the index of one partition into batches and the places of their
- * results. Positions follow from the order of records alone: the first result
- * of an item counts, wherever it came from, and later ones are void. Two VMs
- * that run one item at the same time therefore never give it two positions.
+ * Folds the index of one partition into batches and the positions of their
+ * results. Positions depend only on the order of records: the first result of
+ * an item counts, whoever wrote it, and later ones are void. Two VMs that run
+ * one item at the same time therefore never assign it two positions.
  *
- * The index holds no texts. A VM that knows nothing of a partition reads all of
- * it before it can answer, so what stands here is read by each VM anew.
+ * The index holds no texts: a VM that does not know a partition has to read all
+ * of its index before it can answer.
  */
 
 import type {
@@ -15,7 +15,7 @@
   PayloadRef,
 } from './batch_record.js';
 
-/** What the index tells of one item. */
+/** State of one item in the index. */
 export interface IndexedItem {
   /** Undefined until the item has a result. */
   position: number | undefined;
@@ -27,18 +27,18 @@
   rewardFailures: number;
 }
 
-/** What the index tells of one batch. */
+/** State of one batch in the index. */
 export interface IndexedBatch {
   readonly header: BatchHeader;
   readonly items: ReadonlyMap<string, IndexedItem>;
-  /** Where the submission stands. */
+  /** Location of the stored submission. */
   readonly payload: PayloadRef;
-  /** Results by position. */
+  /** Results in the order of their positions. */
   readonly results: ListedResult[];
   isEnded: boolean;
 }
 
-/** What a record changed, for those who act on it. */
+/** What a record changed. */
 export type IndexChange =
   | {readonly kind: 'opened'; readonly entry: IndexedBatch}
   | {readonly kind: 'ended'; readonly entry: IndexedBatch}
@@ -59,7 +59,7 @@
     return this.batches.get(batchId);
   }
 
-  /** Takes the next record of the partition. */
+  /** Applies the next record of the partition. */
   apply(record: IndexRecord): IndexChange | undefined {
     switch (record.kind) {
       case 'accepted':
@@ -86,7 +86,7 @@
     }
   }
 
-  /** Forgets batches that were submitted before `beforeMs` (Unix ms). */
+  /** Drops batches that were submitted before `beforeMs` (Unix ms). */
   forget(beforeMs: number): void {
     for (const [id, {header}] of this.batches) {
       if (header.submittedAtMs < beforeMs) this.batches.delete(id);
@@ -94,9 +94,9 @@
   }
 
   /**
-   * A submission is repeated when its acknowledgement was lost, at any VM and
-   * even after the batch ended. It shows as two acceptances of one id; the
-   * first counts, so that nothing runs or is listed twice.
+   * A submission is repeated if its acknowledgement was lost, at any VM and
+   * even after the batch has ended. The log then holds two acceptances of one
+   * id; the first counts, so that nothing is run or listed twice.
    */
   private accept({
     header,
@@ -139,7 +139,7 @@
   }
 }
 
-/** Whether nothing of the batch is to be run any more. */
+/** Whether no item of the batch has to run any more. */
 export function isComplete({isEnded, results, items}: IndexedBatch): boolean {
   return isEnded || results.length === items.size;
 }
--- a/packages/core/src/batches/batch_job.ts
+++ b/packages/core/src/batches/batch_job.ts
@@ -1,4 +1,4 @@
-/** Items of open batches as work: what is to be run, and what is running. */
+/** The items of open batches as jobs, and the runs of these jobs on engines. */
 
 import type {Batch, BatchItem, ItemResult} from './batch_record.js';
 import type {EarlierFailures} from './earlier_batches.js';
@@ -7,35 +7,39 @@
 export type JobState =
   | 'waiting'
   | 'running'
-  /** Its text is whole and waits for its score. */
+  /** Its output is complete and its score is pending. */
   | 'unscored'
-  /** It has a result that is on its way to the log, or stands there. */
+  /** It has a result, which is in the log or being appended. */
   | 'finished';
 
 /** One item of one batch. */
 export interface Job {
   readonly batch: OpenBatch;
   readonly item: BatchItem;
-  /** Output so far; shared with later batches that ask for the item again. */
+  /**
+   * Output so far; later batches that request the item again continue from it.
+   */
   readonly transcript: Transcript;
   state: JobState;
-  /** Events of `transcript` that the log keeps for this batch. */
+  /**
+   * Number of `transcript` events that are stored in the log for this batch.
+   */
   recordedEvents: number;
-  /** Set once the item has a result, where its text is known here. */
+  /** Set once the item has a result whose text this VM has. */
   result: ItemResult | undefined;
   /** Attempts that an endpoint answered as failed. */
   failures: number;
-  /** Those in batches before this one. */
+  /** Failures of the item in earlier batches. */
   readonly earlierFailures: EarlierFailures;
   /** Reward calls that an endpoint answered as failed. */
   rewardFailures: number;
-  /** Connections that broke before the first event of a run, one after another. */
+  /** Consecutive connections that broke before the first event of a run. */
   earlyBreaks: number;
-  /** Steady ms before which it is not started again. */
+  /** Steady ms before which no further run starts. */
   notBeforeMs: number;
 }
 
-/** What the route of a batch asks for, with times of the steady clock. */
+/** Requirements of the batch's route; times are steady ms. */
 export interface OpenBatchTerms extends VersionRequirement {
   readonly service: string;
   readonly attempts: number;
@@ -43,34 +47,40 @@
   readonly giveUpAtMs: number;
 }
 
-/** A batch whose items are still run. */
+/** A batch whose items are still being run. */
 export interface OpenBatch {
   readonly batch: Batch;
-  /** Undefined where no rule allows the batch any more. */
+  /** Undefined if no rule allows the batch any more. */
   terms: OpenBatchTerms | undefined;
   readonly jobs: ReadonlyMap<string, Job>;
-  /** Groups that an earlier batch left incomplete; its trainer needs them all. */
+  /**
+   * Groups that an earlier batch left incomplete; the trainer needs all of
+   * them.
+   */
   readonly carriedGroups: ReadonlySet<string>;
-  /** Groups that were last chosen to be finished first. */
+  /** Groups chosen by the last decision to be finished first. */
   chosenGroups: ReadonlySet<string>;
 }
 
-/** One item on one endpoint. */
+/** One run of an item on an engine. */
 export interface Run {
-  /** Unique over all VMs. */
+  /** Unique across all VMs. */
   readonly id: string;
   readonly job: Job;
   readonly engineId: string;
   readonly startedMs: number;
   lastEventMs: number;
   events: number;
-  /** Set when the scheduler wants it ended; its end is then no news of the endpoint. */
+  /**
+   * Set when the scheduler stops the run; its end then says nothing about the
+   * endpoint.
+   */
   isStopping: boolean;
 }
 
 const NO_FAILURES: EarlierFailures = {failures: 0, rejections: 0};
 
-/** Builds a job for `item` that goes on from `transcript`. */
+/** Creates a job for `item` that continues from `transcript`. */
 export function createJob(
   batch: OpenBatch,
   item: BatchItem,
@@ -85,25 +95,25 @@
     recordedEvents: 0,
     result: undefined,
     failures: 0,
-    earlierFailures: earlierFailures,
+    earlierFailures,
     rewardFailures: 0,
     earlyBreaks: 0,
     notBeforeMs: -Infinity,
   };
 }
 
-/** Output tokens that `job` is still expected to make. */
+/** Estimates how many more output tokens `job` will generate. */
 export function estimateRemaining(job: Job, tokensPerEvent: number): number {
   const {expectedOutputTokens, maxOutputTokens} = job.item;
   const generated = job.transcript.events.length * tokensPerEvent;
-  // A text that has outgrown the guess is in the tail of lengths, where as much
-  // again is to come as is there already; never more than the stated bound.
+  // Output longer than expected belongs to the tail of the length distribution,
+  // where on average as much again is still to come; the maximum bounds it.
   const total =
     generated > expectedOutputTokens ? generated * 2 : expectedOutputTokens;
   return Math.max(Math.min(total, maxOutputTokens) - generated, tokensPerEvent);
 }
 
-/** Memory that `job` is expected to take at its end, tokens. */
+/** Estimates the memory that `job` will occupy when it ends, tokens. */
 export function estimateFootprint(job: Job, tokensPerEvent: number): number {
   const generated = job.transcript.events.length * tokensPerEvent;
   return (
--- a/packages/core/src/batches/batch_record.ts
+++ b/packages/core/src/batches/batch_record.ts
@@ -1,14 +1,14 @@
 /**
- * What the log keeps of batches, in three topics of the same partitions: an
- * index, which every VM that is asked folds to the same positions; payloads,
- * which are the bytes of submissions and texts, read only where they are asked
- * for; and progress, which only a coordinator reads that takes over.
+ * Records of batches in the log. Three topics share the same partitions: an
+ * index, which every VM folds to the same positions; payloads, the bytes of
+ * submissions and output, read only on demand; and progress, read only by a
+ * coordinator that takes over.
  */
 
 /**
- * The request that scores an item's text: it goes to a plain endpoint through
- * the routes, once the text is whole, and may be repeated. The proof of origin
- * on its answer is the score.
+ * The request that scores an item's output. It is routed to a plain endpoint
+ * once the output is complete, and may be repeated. The proof of origin on its
+ * response is the score.
  */
 export interface RewardRequest {
   readonly id: string;
@@ -20,32 +20,40 @@
 /** One request of a batch, as it is sent to an endpoint. */
 export interface BatchItem {
   readonly id: string;
-  /** Items of a group share their prompt; a trainer uses whole groups only. */
+  /**
+   * Items of a group share their prompt; a trainer only uses complete groups.
+   */
   readonly group: string;
   readonly path: string;
   readonly headers: Readonly<Record<string, string>>;
   readonly body: Uint8Array;
   readonly promptTokens: number;
   readonly maxOutputTokens: number;
-  /** The submitter's guess, right at the median and often far off. */
+  /**
+   * The submitter's estimate: right at the median, often far off for a single
+   * item.
+   */
   readonly expectedOutputTokens: number;
-  /** Present where the item counts as done only with a score. */
+  /** Present if the item is only done once it has a score. */
   readonly reward?: RewardRequest;
 }
 
 /** A batch without its items. */
 export interface BatchHeader {
   readonly id: string;
-  /** Host and path it was submitted under: they select its route. */
+  /** Host and path of the submission; they select the batch's route. */
   readonly host: string;
   readonly path: string;
-  /** Client account it was accepted for; absent where its rule is public or there are no accounts. */
+  /**
+   * Client account that submitted the batch; absent if its rule is public or
+   * there are no accounts.
+   */
   readonly account?: string;
   readonly step: number;
   readonly model: string;
-  /** Oldest weight version that may generate its tokens. */
+  /** Oldest weight version that may generate its output. */
   readonly minVersion: number;
-  /** Complete groups that the trainer waits for. */
+  /** Number of complete groups that the trainer waits for. */
   readonly groupsWanted: number;
   /** Unix ms of the first submission. */
   readonly submittedAtMs: number;
@@ -60,22 +68,24 @@
 export interface OutputEvent {
   readonly id: number;
   readonly data: string;
-  /** Weight version that made it. */
+  /** Weight version that generated it. */
   readonly version: number;
-  /** The run that made it, unique over all VMs. */
+  /** The run that generated it; unique across all VMs. */
   readonly run: string;
 }
 
 export type ResultState = 'done' | 'errored';
 
-/** What became of an item. */
+/** Outcome of an item. */
 export interface ItemResult {
   readonly itemId: string;
   readonly state: ResultState;
   readonly output: string;
-  /** All weight versions that made events of `output`, ascending. */
+  /** All weight versions that generated events of `output`, ascending. */
   readonly versions: readonly number[];
-  /** Proof of the reward call's answer, where the item asks for one. */
+  /**
+   * Proof of origin of the reward response, for items with a reward request.
+   */
   readonly score?: string;
 }
 
@@ -85,24 +95,27 @@
   readonly bytes: number;
 }
 
-/** Where the bytes of a submission or of a text stand, in order; their partition is that of the batch. */
+/**
+ * Where the bytes of a submission or of an output are stored, in order; they
+ * are in the batch's partition.
+ */
 export type PayloadRef = readonly PayloadPart[];
 
-/** A result as the index lists it: all but its text. */
+/** A result as stored in the index, without its text. */
 export interface ListedResult {
   readonly itemId: string;
   readonly state: ResultState;
   readonly versions: readonly number[];
   readonly score?: string;
-  /** The output, as UTF-8. */
+  /** Location of the output, as UTF-8. */
   readonly text: PayloadRef;
-  /** Names the life of the coordinator that made it. */
+  /** Incarnation of the coordinator that wrote it. */
   readonly writer: string;
 }
 
 /** One record of the index. */
 export type IndexRecord =
-  /** The batch counts from here on; its payload was stored before. */
+  /** The batch is accepted; its payload was stored before this record. */
   | {
       readonly kind: 'accepted';
       readonly header: BatchHeader;
@@ -134,13 +147,16 @@
     }
   | {readonly kind: 'ended'; readonly batchId: string};
 
-/** Events that a running item has made, for whoever goes on with it. */
+/** Output events of a running item, for a coordinator that takes over. */
 export interface ProgressRecord {
   readonly batchId: string;
   readonly itemId: string;
-  /** The run that made the event before these; absent where they begin the text. */
+  /**
+   * The run that generated the event before these; absent if the output starts
+   * here.
+   */
   readonly afterRun?: string;
   readonly events: readonly OutputEvent[];
-  /** Set where the text ends with these events. */
+  /** Set if the output ends with these events. */
   readonly isWhole?: boolean;
 }
--- a/packages/core/src/batches/batch_scheduler.ts
+++ b/packages/core/src/batches/batch_scheduler.ts
@@ -1,12 +1,12 @@
 /**
- * Decides which item of which batch runs on which engine. An item may be
- * stopped and go on elsewhere from its last event, which costs a few ms of
- * reading, so the scheduler moves work freely: off slow, silent and leaving
- * engines, and aside for groups that a trainer is waiting for.
+ * Decides which item runs on which engine. An item can be stopped and resumed
+ * on another engine after its last event, which costs a few ms of reading. The
+ * scheduler therefore moves runs freely: off slow, silent and leaving engines,
+ * and to make room for groups that a trainer waits for.
  *
- * The load this answers: several trainers share the engines, each asks for a
- * step about every four seconds, lengths vary by a factor of ten, and a step is
- * as late as the longest item of the groups that its trainer needs.
+ * Several trainers share the engines and submit a step about every four seconds
+ * each. Output lengths vary by a factor of ten, and a step takes as long as the
+ * longest item of the groups that its trainer needs.
  */
 
 import {
@@ -36,39 +36,69 @@
 import {RunTable} from './run_table.js';
 import type {RunEnd, ScheduleAction, StopReason} from './schedule_action.js';
 
-/** A run without an event for this long goes on elsewhere, ms. Events come every 30 to 150 ms, a load pauses them for about 900. */
+/**
+ * A run without an event for this long is moved to another engine, ms. Events
+ * come every 30 to 150 ms; a load of weights pauses them for about 900 ms.
+ */
 const STALL_MS = 1500;
-/** The same while the engine loads: several loads at once take longer. */
+/**
+ * The same limit while the engine loads weights, as concurrent loads take
+ * longer.
+ */
 const LOADING_STALL_MS = 4000;
-/** Early breaks after which an item is suspected of crashing engines. One that has made output before did not crash the engine that made it, so it may have been unlucky more often. */
+/**
+ * Number of early breaks after which an item is suspected of crashing engines.
+ * An item with output did not crash the engine that generated it, so it is
+ * allowed more breaks by chance.
+ */
 const MAX_EARLY_BREAKS = 3;
 const MAX_EARLY_BREAKS_WITH_TEXT = 6;
-/** Pause of a suspected item, ms: long enough that it reaches no more than two engines within a usual retention of 40 s. */
+/**
+ * Pause of a suspected item, ms. With the usual retention of 40 s the item then
+ * reaches at most two more engines.
+ */
 const SUSPECT_PAUSE_MS = 15_000;
 
-/** Runs on engines that others outrun are looked for this often, ms; speeds change within half a second. */
+/**
+ * Interval of the search for runs that would end sooner on another engine, ms;
+ * speeds change within half a second.
+ */
 const REBALANCE_MS = 250;
-/** Runs that are looked at then, those with most to make first: the tail of a step is a few items. */
+/**
+ * Number of runs considered by each search, those with most output to come: the
+ * tail of a step consists of a few items.
+ */
 const MAX_REBALANCED = 12;
-/** A run is not made to give way sooner after its start, ms: it would have read its prompt for nothing. */
+/**
+ * Minimum duration of a run before it may be moved, ms; stopped sooner, it
+ * would have read its prompt for nothing.
+ */
 const MIN_RUN_MS = 800;
 
-/** Figures of the deployment. */
+/** Parameters of the deployment. */
 export interface SchedulerConfig {
-  /** Output tokens in one event. */
+  /** Output tokens per event. */
   readonly tokensPerEvent: number;
-  /** Makes the ids of runs unique over all schedulers there ever were. */
+  /**
+   * Prefix of run ids that makes them unique across all schedulers, past ones
+   * included.
+   */
   readonly runPrefix: string;
-  /** Whether an item must not run now, as requests like it crash engines. */
+  /**
+   * Whether the item must not run now because requests like it crash engines.
+   */
   readonly isQuarantined?: (job: Job) => boolean;
 }
 
 export class BatchScheduler {
   readonly engineHealth = new EngineHealth();
   private readonly open = new Map<string, OpenBatch>();
-  /** The newest job of each item id, to go on from when it is asked for again. */
+  /**
+   * The newest job of each item id, to continue from when the item is requested
+   * again.
+   */
   private readonly lastJobs = new Map<string, Job>();
-  /** The batches of each model that were closed last. */
+  /** The most recently closed batches of each model. */
   private readonly closed = new Map<string, OpenBatch[]>();
   private readonly runs = new RunTable();
   private engines: ReadonlyMap<string, EngineView> = new Map();
@@ -89,7 +119,7 @@
     return this.open.values();
   }
 
-  /** Takes a batch from the log, with the results and output it has. */
+  /** Opens a batch with the results and output that the log has for it. */
   openBatch(
     state: BatchState,
     terms: OpenBatchTerms | undefined,
@@ -134,14 +164,17 @@
     this.outcomes.giveUpRepeatedlyFailed(job);
   }
 
-  /** Whether the batch is open, or was closed so lately that its texts are kept. */
+  /**
+   * Whether the batch is open, or was closed so recently that its output is
+   * retained.
+   */
   hasBatch({id, model}: BatchHeader): boolean {
     if (this.open.has(id)) return true;
     const closed = this.closed.get(model) ?? [];
     return closed.some(({batch}) => batch.id === id);
   }
 
-  /** The batch's owner has ended it, or it is to be forgotten. */
+  /** Closes a batch that its owner has ended or that is to be dropped. */
   closeBatch(batchId: string): void {
     const open = this.open.get(batchId);
     if (!open) return;
@@ -153,9 +186,9 @@
   }
 
   /**
-   * The items of an ended batch may come again in a later one, so the texts of
-   * the last ones are kept; kept for as long as batches are known they fill the
-   * memory.
+   * A later batch may request the items of an ended one again, so the output of
+   * the last few is retained. Retaining it for as long as batches are indexed
+   * would exhaust the memory.
    */
   private retainClosed(open: OpenBatch): void {
     const {model} = open.batch;
@@ -168,7 +201,7 @@
     }
   }
 
-  /** Forgets batches submitted before `beforeMs` (Unix ms), with their items. */
+  /** Drops batches submitted before `beforeMs` (Unix ms) and their items. */
   forget(beforeMs: number): void {
     for (const [id, {batch}] of this.open) {
       if (batch.submittedAtMs < beforeMs) this.closeBatch(id);
@@ -179,9 +212,9 @@
   }
 
   /**
-   * A result stands in the log, from this scheduler or another. Which text of
-   * two counts is the log's choice, so one's own is kept for later batches only
-   * where it is the one that stands.
+   * Handles a result in the log, from this scheduler or another one. The log
+   * decides which of two results counts, so this scheduler's own result is
+   * retained for later batches only if it is the one listed.
    */
   onResultListed(batchId: string, {itemId, writer}: ListedResult): void {
     const job = this.open.get(batchId)?.jobs.get(itemId);
@@ -203,17 +236,22 @@
     }
   }
 
-  /** Jobs whose texts are whole, in the order in which they should get their scores. */
+  /**
+   * Jobs whose output is complete, in the order in which they should be scored.
+   */
   listUnscored(): readonly Job[] {
     return rankUnscored(this.open.values());
   }
 
-  /** The reward call of `job` was answered with its score. */
+  /** Handles the score from the reward call of `job`. */
   onScore(job: Job, score: string): void {
     this.outcomes.onScore(job, score);
   }
 
-  /** The reward call of `job` was answered as failed; `attempts` of these are enough to give it up. */
+  /**
+   * Handles a failed reward call of `job`; after `attempts` failures the item
+   * is given up.
+   */
   onRewardFailure(job: Job, attempts: number): void {
     this.outcomes.countRewardFailure(job, attempts);
   }
@@ -222,7 +260,10 @@
     this.engines = new Map(engines.map(engine => [engine.id, engine]));
   }
 
-  /** Items of `model` that wait, with the greatest minimum version of its batches. */
+  /**
+   * Waiting items of `model`, and the greatest minimum version of its
+   * unfinished batches.
+   */
   measureNeed(model: string): {waiting: number; minVersion: number} {
     let waiting = 0;
     let minVersion = 0;
@@ -238,17 +279,20 @@
     return {waiting, minVersion};
   }
 
-  /** Runs on an engine, of all models or of one. */
+  /** Number of runs on an engine, of one model or of all. */
   countRuns(engineId: string, model?: string): number {
     if (model === undefined) return this.runs.countAt(engineId);
     return this.runs.countModelAt(engineId, model);
   }
 
-  /** An event of `run` arrived. Says whether it can be used and follows the text so far. */
+  /**
+   * Handles an event of `run`. Returns whether it is usable and follows the
+   * output so far.
+   */
   onEvent(run: Run, event: OutputEvent, nowMs: number): boolean {
     if (!this.runs.has(run) || run.isStopping) return true;
-    // The engine has older weights than it was taken to have; the rest of the
-    // text would be made for nothing.
+    // The engine has older weights than its last report stated; the rest of the
+    // output could not be used either.
     const minVersion = run.job.batch.terms?.minVersion ?? 0;
     if (event.version < minVersion) return false;
     if (!run.job.transcript.append(event)) return false;
@@ -264,12 +308,12 @@
     return true;
   }
 
-  /** A run is over. */
+  /** Handles the end of a run. */
   onRunEnd(run: Run, end: RunEnd, nowMs: number): void {
     if (!this.runs.delete(run)) return;
     const {job, engineId} = run;
-    // Events that came after the stop were not kept, so even a run that got to
-    // its end has no whole output.
+    // Events after the stop were dropped, so even a run that finished has no
+    // complete output.
     if (run.isStopping) {
       if (job.state === 'running') job.state = 'waiting';
       return;
@@ -301,7 +345,7 @@
     }
   }
 
-  /** What is to be done now. */
+  /** Returns what has to be done now. */
   decide(nowMs: number): readonly ScheduleAction[] {
     this.giveUpOverdue(nowMs);
     this.stopSilent(nowMs);
@@ -386,7 +430,10 @@
     return ranked.map(({job}) => job);
   }
 
-  /** Needed groups first, then by due time, then the longest first: a long item started late ends the step late. */
+  /**
+   * Needed groups first, then by due time, then the longest first, as a long
+   * item that starts late delays the end of the step.
+   */
   private rankJob(
     job: Job,
     terms: OpenBatchTerms,
@@ -418,7 +465,10 @@
     this.actions.push({kind: 'start', run, reason});
   }
 
-  /** Runs of groups that no trainer waits for, on engines that keep pace, longest first. */
+  /**
+   * Runs of groups that no trainer waits for, on engines that are not slow, the
+   * longest first.
+   */
   private listSurplus(placement: Placement, nowMs: number): readonly Run[] {
     return [...this.runs.values()]
       .filter(
@@ -431,8 +481,8 @@
   }
 
   /**
-   * A needed item found no place: a surplus run that holds one makes way. Its
-   * text is kept and it goes on later.
+   * Stops a surplus run to make room for a needed item that found no free slot.
+   * The stopped run keeps its output and resumes later.
    */
   private makeRoom(job: Job, surplus: Run[], placement: Placement): void {
     const index = surplus.findIndex(run => {
@@ -444,7 +494,9 @@
     this.stop(run, 'made_room');
   }
 
-  /** Moves runs from slow, leaving and loading engines to places that are free elsewhere. */
+  /**
+   * Moves runs from slow, leaving and loading engines to free slots elsewhere.
+   */
   private moveRuns(placement: Placement): void {
     const moves: Array<{run: Run; reason: StopReason}> = [];
     for (const run of this.runs.values()) {
@@ -453,7 +505,7 @@
         : findMoveReason(run, placement);
       if (reason) moves.push({run, reason});
     }
-    // The longest first: it has most to gain.
+    // The longest first, as they gain most.
     moves.sort(
       (a, b) => placement.estimateRun(b.run) - placement.estimateRun(a.run),
     );
@@ -466,16 +518,16 @@
       ) {
         continue;
       }
-      // Taken for this run until it starts there at the next decision.
+      // Reserves the slot until the run starts there at the next decision.
       placement.add(target.id, run.job);
       this.stop(run, reason);
     }
   }
 
   /**
-   * Moves the needed runs with most to make to engines on which they end much
-   * sooner: places on fast engines become free as short items end, and a step is
-   * as late as its longest item.
+   * Moves the needed runs with most output to come to engines on which they end
+   * much sooner. Slots on fast engines become free as short items end, and a
+   * step takes as long as its longest item.
    */
   private rebalance(placement: Placement, nowMs: number): void {
     if (nowMs - this.rebalancedMs < REBALANCE_MS) return;
@@ -500,9 +552,9 @@
   }
 
   /**
-   * An item can crash each engine that begins to run it. It shows as a
-   * connection that breaks before the first event, again and again, and would
-   * take down one engine after the other; so it pauses after a few.
+   * Some items crash every engine that starts them, which shows as connections
+   * that repeatedly break before the first event. Such an item pauses after a
+   * few breaks, as it would take down one engine after another.
    */
   private countBreak(run: Run, nowMs: number): void {
     const {job} = run;
@@ -516,7 +568,7 @@
   }
 }
 
-/** Whether `run` goes on and has run for long enough to be moved. */
+/** Whether `run` is not stopping and has lasted long enough to be moved. */
 function isSettled(run: Run, nowMs: number): boolean {
   return !run.isStopping && nowMs - run.startedMs > MIN_RUN_MS;
 }
--- a/packages/core/src/batches/batch_state.ts
+++ b/packages/core/src/batches/batch_state.ts
@@ -1,6 +1,6 @@
 /**
- * A batch as a coordinator takes it over: what was submitted, what the index
- * says of it, and what is stored of the texts that are not whole yet.
+ * A batch as a coordinator takes it over: its submission, its state in the
+ * index, and the stored output of incomplete items.
  */
 
 import type {IndexedBatch} from './batch_index.js';
@@ -20,7 +20,7 @@
   readonly rewardFailures: number;
   /** Whether it has a result. */
   readonly isListed: boolean;
-  /** Its result, where the text was read. */
+  /** Its result, if the text has been read. */
   readonly result?: ItemResult;
 }
 
@@ -30,13 +30,15 @@
   readonly isEnded: boolean;
 }
 
-/** What is stored of items beside the index. */
+/** Stored output of items, which the index does not hold. */
 export interface StoredOutput {
   readonly transcripts: ReadonlyMap<string, Transcript>;
   readonly results: ReadonlyMap<string, ItemResult>;
 }
 
-/** The state of `batch` as the index has it now, with output that was read from the log. */
+/**
+ * Combines the indexed state of `batch` with output that was read from the log.
+ */
 export function assembleState(
   batch: Batch,
   entry: IndexedBatch,
@@ -60,7 +62,10 @@
   return {batch, items, isEnded: entry.isEnded};
 }
 
-/** Texts of the items of one batch, joined from progress in the order of the log. */
+/**
+ * Joins the progress records of one batch, in log order, into transcripts of
+ * its items.
+ */
 export class ProgressFold {
   private readonly byItem = new Map<string, Transcript>();
 
@@ -70,7 +75,10 @@
     return this.byItem;
   }
 
-  /** Takes the next record. Progress that does not follow what is known is dropped; it only costs its generation again. */
+  /**
+   * Applies the next record. Progress that does not follow the output so far is
+   * dropped; that part is then generated again.
+   */
   apply({batchId, itemId, afterRun, events, isWhole}: ProgressRecord): void {
     if (batchId !== this.batchId) return;
     let transcript = this.byItem.get(itemId);
--- a/packages/core/src/batches/earlier_batches.ts
+++ b/packages/core/src/batches/earlier_batches.ts
@@ -1,15 +1,20 @@
-/** What batches before one have of the items that it asks for again. */
+/**
+ * Finds what earlier batches have for items that a later batch requests again.
+ */
 
 import {type IndexedBatch, isComplete} from './batch_index.js';
 
 /**
- * Closed batches of a model whose texts are kept: groups that were not complete
- * come again in the next step, or in the one after it where steps are asked for
- * ahead.
+ * Number of closed batches per model whose output is retained. Incomplete
+ * groups are requested again in the next step, or in the one after it by
+ * trainers that submit steps ahead.
  */
 export const RETAINED_BATCHES = 3;
 
-/** Those of `known` that are over and share items with `entry`, the oldest first. */
+/**
+ * Batches among `candidates` that are over and share items with `entry`, the
+ * oldest first.
+ */
 export function listEarlierBatches(
   entry: IndexedBatch,
   candidates: readonly IndexedBatch[],
@@ -25,7 +30,7 @@
     .filter(({items}) => itemIds.some(id => items.has(id)));
 }
 
-/** How an item failed in batches before one that asks for it again. */
+/** How often an item failed in earlier batches. */
 export interface EarlierFailures {
   /** Attempts that an endpoint answered as failed. */
   readonly failures: number;
@@ -33,7 +38,10 @@
   readonly rejections: number;
 }
 
-/** By item of `entry`, those of `known` that failed; an item that comes again must not be run for ever. */
+/**
+ * Counts the failures of the items of `entry` in earlier batches, by item id,
+ * so that an item that is requested again and again is not run forever.
+ */
 export function countEarlierFailures(
   entry: IndexedBatch,
   candidates: readonly IndexedBatch[],
--- a/packages/core/src/batches/engine_health.ts
+++ b/packages/core/src/batches/engine_health.ts
@@ -1,28 +1,43 @@
-/** What the batch scheduler knows of each engine beyond the list's word. */
+/**
+ * What the batch scheduler observes of engines, beyond their entries in the
+ * list.
+ */
 
 import {SpeedTracker} from '../fleet/speed_tracker.js';
 
-/** An engine that may be given items; one that is leaving or gone is not listed. */
+/** An engine that may get items; leaving or removed engines are not listed. */
 export interface EngineView {
   readonly id: string;
   readonly service: string;
   readonly slots: number;
   readonly kvTokens: number;
-  /** Weight versions by model, as far as known. */
+  /** Reported weight versions by model. */
   readonly versions: ReadonlyMap<string, number>;
-  /** Models for which it is carrying out an order: new items would be refused. */
+  /**
+   * Models for which the engine is loading weights, so that it would refuse new
+   * items.
+   */
   readonly loading: ReadonlySet<string>;
 }
 
-/** First pause after a connection could not be made, ms; doubles up to the next figure. */
+/**
+ * First pause after a failed connection, ms, and the maximum up to which it
+ * doubles.
+ */
 const UNREACHABLE_PAUSE_MS = 300;
 const MAX_UNREACHABLE_PAUSE_MS = 2400;
-/** Pause after an engine said that it is full or is loading, ms; a load takes about a second. */
+/**
+ * Pause after an engine refused an item because it is full or loading, ms; a
+ * load takes about a second.
+ */
 const REFUSED_PAUSE_MS = 120;
-/** Pause after all runs of an engine fell silent, ms. */
+/** Pause after all runs of an engine became silent, ms. */
 const SILENT_PAUSE_MS = 1200;
 
-/** Failures in a row that are more than one lost connection. */
+/**
+ * Consecutive failures from which an engine counts as failing; one may be a
+ * single lost connection.
+ */
 const FAILING_THRESHOLD = 2;
 
 interface Outage {
@@ -35,14 +50,14 @@
   private readonly outages = new Map<string, Outage>();
   private readonly refusals = new Map<string, number>();
 
-  /** Whether `engineId` may be given an item of `model` now. */
+  /** Whether `engineId` may get an item of `model` now. */
   isAvailable(engineId: string, model: string, nowMs: number): boolean {
     const untilMs = this.outages.get(engineId)?.untilMs ?? -Infinity;
     const refusedUntilMs = this.refusals.get(`${engineId} ${model}`);
     return nowMs >= untilMs && nowMs >= (refusedUntilMs ?? -Infinity);
   }
 
-  /** Whether the last attempts at the engine failed for its own reasons. */
+  /** Whether the last attempts failed for reasons of the engine itself. */
   isFailing(engineId: string): boolean {
     return (this.outages.get(engineId)?.failures ?? 0) >= FAILING_THRESHOLD;
   }
@@ -75,7 +90,7 @@
     });
   }
 
-  /** The engine is another one now, or gone. */
+  /** Drops the state of an engine that was replaced or removed. */
   forget(engineId: string): void {
     this.speeds.forget(engineId);
     this.outages.delete(engineId);
--- a/packages/core/src/batches/group_choice.ts
+++ b/packages/core/src/batches/group_choice.ts
@@ -1,32 +1,48 @@
 /**
- * Which groups of a batch its trainer will use. A trainer waits for a number of
- * complete groups, so the items of the others only matter once those are done.
+ * Chooses the groups of a batch to finish first. A trainer waits for a number
+ * of complete groups, so items of other groups only matter after that.
  */
 
 import {estimateRemaining, type Job, type OpenBatch} from './batch_job.js';
 
-/** What is left of an item that only waits for its score, in events of a generation. */
+/**
+ * Remaining cost of an item that only waits for its score, in output events.
+ */
 const REWARD_EVENTS = 6;
 
-/** How the groups of a batch stand. */
+/** The groups chosen for a batch. */
 export interface GroupChoice {
-  /** Groups to finish first: those carried over, then the ones closest to their end. */
+  /**
+   * Groups to finish first: those carried over, then those closest to
+   * completion.
+   */
   readonly needed: ReadonlySet<string>;
-  /** Whether as many groups as wanted are complete, carried ones among them. */
+  /**
+   * Whether as many groups as requested are complete, carried ones included.
+   */
   readonly isSatisfied: boolean;
 }
 
 interface GroupState {
   readonly group: string;
-  /** Tokens of its longest unfinished item, less for a chosen group; 0 when it is complete. */
+  /**
+   * Remaining tokens of its longest unfinished item, reduced for a chosen
+   * group; 0 if the group is complete.
+   */
   readonly longest: number;
   readonly isCarried: boolean;
 }
 
-/** A group that was chosen before counts as this much closer to its end, so that two about equal ones do not take each other's places by turns. */
+/**
+ * Factor on the remaining tokens of a group that was chosen before, so that two
+ * groups of about equal length do not alternate.
+ */
 const CHOSEN_GROUP_FACTOR = 0.6;
 
-/** Chooses the groups of `open` to finish first, and remembers the choice there. */
+/**
+ * Chooses the groups of `open` to finish first, and stores the choice in
+ * `open`.
+ */
 export function chooseGroups(
   open: OpenBatch,
   tokensPerEvent: number,
--- a/packages/core/src/batches/job_outcomes.ts
+++ b/packages/core/src/batches/job_outcomes.ts
@@ -1,6 +1,6 @@
 /**
- * What becomes of jobs: texts that are whole, scores, results that an earlier
- * batch made, failures, and items that are given up. Each item gets one result.
+ * Determines the outcome of jobs from complete output, scores, results of
+ * earlier batches, and failures. Each item gets exactly one result.
  */
 
 import type {Job} from './batch_job.js';
@@ -8,26 +8,32 @@
 import {clearText} from './job_rules.js';
 import type {ListReason, ScheduleAction} from './schedule_action.js';
 
-/** Pause before an item that failed is tried again, ms; most failures of an engine pass within a few requests. */
+/**
+ * Pause before a failed item is retried, ms; most engine failures are over
+ * after a few requests.
+ */
 const RETRY_PAUSE_MS = 50;
 
-/** Batches in which an item may fail for good; one that asks for it again gets that answer at once. */
+/**
+ * Number of batches in which an item may use up its attempts; batches that
+ * request it afterwards give it up at once.
+ */
 const MAX_FAILED_BATCHES = 3;
 
 export class JobOutcomes {
-  /** @param emit Takes what the owner of the scheduler is to do. */
+  /** @param emit Receives the actions for the owner of the scheduler. */
   constructor(private readonly emit: (action: ScheduleAction) => void) {}
 
-  /** The engine says that the text of `job` is whole. */
+  /** Handles an engine's report that the output of `job` is complete. */
   onOutputComplete(job: Job, nowMs: number): void {
     const {terms} = job.batch;
-    // A stream that ends well without one event is no output of a generation.
+    // A stream that ends normally without any event is not a generation.
     if (job.transcript.events.length === 0) {
       job.notBeforeMs = nowMs + RETRY_PAUSE_MS;
       return;
     }
-    // Weights can be older than the engine's last word said when it restarted
-    // meanwhile; such a text is not used.
+    // An engine that restarted may have older weights than its last report
+    // states; such output is not used.
     if (terms && !job.transcript.satisfies(terms)) {
       clearText(job);
       return;
@@ -38,8 +44,8 @@
   }
 
   /**
-   * A text that the log or an earlier batch has in whole needs no engine. Says
-   * whether there is one.
+   * Uses output that the log or an earlier batch has completely, without an
+   * engine. Returns whether there was any.
    */
   useStoredText(job: Job): boolean {
     const {terms} = job.batch;
@@ -54,11 +60,11 @@
     return true;
   }
 
-  /** The reward call of `job` brought its score. */
+  /** Handles the score from the reward call of `job`. */
   onScore(job: Job, score: string): void {
     if (job.state !== 'unscored') return;
     const {terms} = job.batch;
-    // The route may ask for other weights than when the text was made.
+    // The route's requirements may have changed since the output was generated.
     if (terms && !job.transcript.satisfies(terms)) {
       clearText(job);
       job.state = 'waiting';
@@ -67,7 +73,10 @@
     this.listText(job, score, 'scored');
   }
 
-  /** Lists what an earlier batch made of the same item, if it can be used. */
+  /**
+   * Lists the result that an earlier batch has for the same item, if it is
+   * usable.
+   */
   reuseResult(job: Job, earlier: Job): void {
     const {terms} = job.batch;
     const {result} = earlier;
@@ -78,7 +87,7 @@
     this.list(job, result, 'known_from_earlier_batch');
   }
 
-  /** An engine answered that its attempt failed. */
+  /** Counts an attempt that an engine answered as failed. */
   countFailure(job: Job, nowMs: number): void {
     job.failures += 1;
     const attempts = job.batch.terms?.attempts ?? 1;
@@ -87,7 +96,10 @@
     this.giveUpRepeatedlyFailed(job);
   }
 
-  /** An item that failed in one batch after the other is not run again. */
+  /**
+   * Gives up an item that failed in several batches, instead of running it
+   * again.
+   */
   giveUpRepeatedlyFailed(job: Job): void {
     const {batch, earlierFailures} = job;
     if (job.state !== 'waiting' || !batch.terms) return;
@@ -98,7 +110,10 @@
     if (isHopeless) this.giveUp(job, 'failed_in_earlier_batches');
   }
 
-  /** An endpoint answered that the reward call failed; `attempts` of these are enough. */
+  /**
+   * Counts a failed reward call; after `attempts` failures the item is given
+   * up.
+   */
   countRewardFailure(job: Job, attempts: number): void {
     if (job.state !== 'unscored') return;
     job.rewardFailures += 1;
@@ -119,7 +134,8 @@
   finish(job: Job, result: ItemResult | undefined): void {
     job.state = 'finished';
     job.result = result;
-    // The result has the text; its events take three times as much memory.
+    // The result holds the text; its events would take three times as much
+    // memory.
     clearText(job);
   }
 
@@ -145,7 +161,7 @@
   }
 }
 
-/** Whether the answer to `a` is also one to `b`. */
+/** Whether an answer to `a` also answers `b`. */
 function isSameReward(
   a: RewardRequest | undefined,
   b: RewardRequest | undefined,
--- a/packages/core/src/batches/job_rules.ts
+++ b/packages/core/src/batches/job_rules.ts
@@ -1,22 +1,29 @@
-/** Small judgements on jobs and runs that the batch scheduler is made of. */
+/** Small rules on jobs and runs for the batch scheduler. */
 
 import type {Job, OpenBatch, Run} from './batch_job.js';
 import type {Placement} from './placement.js';
 import type {ListReason, StopReason} from './schedule_action.js';
 import {Transcript} from './transcript.js';
 
-/** All runs of an engine without an event for this long: it is silent, ms. Well over the gaps of a slow engine (4 times 40 ms) and the start of a full batch. */
+/**
+ * An engine is silent if none of its runs had an event for this long, ms. This
+ * is well above the event gaps of a slow engine (4 times 40 ms) and the start
+ * of a full batch.
+ */
 const SILENCE_MS = 800;
-/** Runs that must be silent together; one alone may be read in behind a long prompt. */
+/**
+ * Number of runs that must be silent together; a single one may be waiting
+ * while a long prompt is read.
+ */
 const MIN_SILENT_RUNS = 2;
 
-/** Drops the text of `job`; it begins anew. */
+/** Drops the output of `job`, which starts over. */
 export function clearText(job: Job): void {
   job.transcript.clear();
   job.recordedEvents = 0;
 }
 
-/** The longer of what the log keeps and what an earlier batch made. */
+/** Returns the longer of the output in the log and that of an earlier batch. */
 export function chooseText(
   stored: Transcript,
   earlier: Job | undefined,
@@ -26,7 +33,7 @@
   return transcript.events.length > stored.events.length ? transcript : stored;
 }
 
-/** A copy of `source` that grows by itself. */
+/** Returns a copy of `source` that grows independently. */
 export function copyText(source: Transcript): Transcript {
   const copy = new Transcript();
   for (const event of source.events) copy.append(event);
@@ -34,7 +41,7 @@
   return copy;
 }
 
-/** Why `run` should not stay where it is, if it should not. */
+/** Returns why `run` should move to another engine, if it should. */
 export function findMoveReason(
   run: Run,
   placement: Placement,
@@ -43,12 +50,12 @@
   const engine = placement.getEngine(run.engineId);
   if (!engine) return 'engine_draining';
   const {model} = run.job.batch.batch;
-  // A load would stop the run for about a second; to go on elsewhere costs it
-  // the reading of its text, some 25 ms for the longest.
+  // A load would pause the run for about a second; resuming elsewhere costs
+  // reading its text again, about 25 ms for the longest.
   return engine.loading.has(model) ? 'engine_loading' : undefined;
 }
 
-/** Why the items of `open` without a result are given up, if they are. */
+/** Returns why the unfinished items of `open` are given up, if they are. */
 export function findGiveUpReason(
   open: OpenBatch,
   nowMs: number,
@@ -57,13 +64,13 @@
   return nowMs > open.terms.giveUpAtMs ? 'retention_over' : undefined;
 }
 
-/** Whether an engine that runs `runs` has fallen silent. */
+/** Whether an engine with these runs has become silent. */
 export function isAllSilent(runs: readonly Run[], nowMs: number): boolean {
   if (runs.length < MIN_SILENT_RUNS) return false;
   return runs.every(({lastEventMs}) => nowMs - lastEventMs > SILENCE_MS);
 }
 
-/** Orders by the first figure that differs, lower first. */
+/** Compares by the first element that differs, lower first. */
 export function compareRanks(
   a: readonly number[],
   b: readonly number[],
--- a/packages/core/src/batches/placement.ts
+++ b/packages/core/src/batches/placement.ts
@@ -1,7 +1,7 @@
 /**
- * Finds a place for items during one decision. Counts of runs and memory are
- * taken once and kept up to date as places are given, so that a decision costs
- * a few steps an item and engine, however much runs already.
+ * Assigns items to engines during one decision. Runs and memory are counted
+ * once and updated with each assignment, so that a decision takes a few steps
+ * per item and engine, however many runs there are.
  */
 
 import {
@@ -15,22 +15,38 @@
 import {computeCrowdingFactor} from '../fleet/speed_tracker.js';
 import {chooseGroups, type GroupChoice} from './group_choice.js';
 
-/** Share of an engine's memory that is planned with; estimates are often off, and a full memory restarts the newest run. */
+/**
+ * Share of an engine's memory that is used for planning. Estimates are often
+ * off, and a full memory restarts the newest run.
+ */
 const MEMORY_SHARE = 0.9;
-/** Items of one group on one engine share their prompt there, which saves reading it again; an engine that has this many runs more is not chosen for that, as each slows all others. */
+/**
+ * Items of a group share their prompt on an engine, which saves reading it
+ * again. The engine is preferred for that unless it has this many more runs, as
+ * each run slows all others.
+ */
 const AFFINITY_RUNS = 1;
-/** A slow engine counts as this many times slower still: how slow it is now says little of how slow it will be. */
+/**
+ * Additional factor on the gap of a slow engine, as its current speed says
+ * little of its future speed.
+ */
 const SLOW_PENALTY = 2;
-/** What it costs a run to go on elsewhere: a round trip, its text read again, and the event that was under way, ms. */
+/**
+ * Cost of moving a run, ms: a round trip, reading its text again, and the event
+ * being generated.
+ */
 const MOVE_MS = 80;
-/** A run moves for speed only if it ends this much sooner, ms, and that many times faster; predictions are off by a few in a hundred. */
+/**
+ * A run is moved for speed only if it ends this much sooner, ms, and its events
+ * come this many times faster; predictions are off by a few per cent.
+ */
 const MIN_SAVED_MS = 500;
 const MIN_GAIN = 1.1;
 
 interface EngineUse {
   runs: number;
   tokens: number;
-  /** Runs by batch and group. */
+  /** Number of runs by batch and group. */
   readonly groups: Map<string, number>;
 }
 
@@ -38,7 +54,7 @@
   readonly groups: ReadonlyMap<string, number>;
 };
 
-/** Of an engine without runs; most engines of a large fleet have none. */
+/** Use of an engine without runs, as most engines of a large fleet are. */
 const UNUSED: ReadonlyUse = {runs: 0, tokens: 0, groups: new Map()};
 
 export class Placement {
@@ -47,7 +63,10 @@
   private readonly uses = new Map<string, EngineUse>();
   private readonly choices = new Map<OpenBatch, GroupChoice>();
   private readonly paces = new Map<string, number>();
-  /** Engines that may run the items of a batch, room aside. */
+  /**
+   * Engines that may run the items of a batch, apart from free slots and
+   * memory.
+   */
   private readonly candidates = new Map<OpenBatch, readonly EngineView[]>();
 
   constructor(
@@ -75,12 +94,12 @@
     return choice;
   }
 
-  /** Whether the trainer of `job` waits for its group. */
+  /** Whether the trainer waits for the group of `job`. */
   isNeeded(job: Job): boolean {
     return this.getChoice(job.batch).needed.has(job.item.group);
   }
 
-  /** The best engine with room for `job`, if there is one. */
+  /** Returns the best engine with room for `job`, if any. */
   pickEngine(job: Job): EngineView | undefined {
     let best: EngineView | undefined;
     let bestScore = Infinity;
@@ -97,7 +116,10 @@
     return best;
   }
 
-  /** Engines that may run the items of the job's batch: the same for all of them within one decision. */
+  /**
+   * Engines that may run the items of the job's batch; they are the same for
+   * all items within one decision.
+   */
   private listCandidates(job: Job): readonly EngineView[] {
     let list = this.candidates.get(job.batch);
     if (!list) {
@@ -109,7 +131,7 @@
     return list;
   }
 
-  /** Whether `engine` may run `job` at all, room aside. */
+  /** Whether `engine` may run `job`, apart from free slots and memory. */
   canTake(engine: EngineView, job: Job): boolean {
     const {batch, terms} = job.batch;
     if (!terms || engine.service !== terms.service) return false;
@@ -119,7 +141,7 @@
     return this.engineHealth.isAvailable(engine.id, batch.model, this.nowMs);
   }
 
-  /** Another engine on which `run` would end much sooner, if there is one. */
+  /** Returns another engine on which `run` would end much sooner, if any. */
   findFaster(run: Run): EngineView | undefined {
     const target = this.pickEngine(run.job);
     if (!target || target.id === run.engineId) return undefined;
@@ -135,15 +157,15 @@
     return target;
   }
 
-  /** Counts `run` as no longer on its engine. */
+  /** Stops counting `run` on its engine. */
   remove(run: Run): void {
     const use = this.getOrCreateUse(run.engineId);
     const key = createGroupKey(run.job);
     const left = (use.groups.get(key) ?? 0) - 1;
     use.runs -= 1;
     use.tokens -= estimateFootprint(run.job, this.tokensPerEvent);
-    // A group that has left would still draw its other items here, away from
-    // the engine that its prompt moves to.
+    // A group without runs here must be deleted: it would attract its other
+    // items to this engine, away from the one that its prompt moves to.
     if (left > 0) use.groups.set(key, left);
     else use.groups.delete(key);
   }
@@ -157,15 +179,15 @@
     use.groups.set(key, (use.groups.get(key) ?? 0) + 1);
   }
 
-  /** Tokens that `run` is still expected to make. */
+  /** Estimates how many more tokens `run` will generate. */
   estimateRun(run: Run): number {
     return estimateRemaining(run.job, this.tokensPerEvent);
   }
 
   /**
-   * The gap between events that an item of `group` would see on the engine, ms.
-   * Engines differ by as much in speed as a dozen runs make: by the number of
-   * runs alone the longest items would be as late as the slowest engine.
+   * Predicted gap between the events of an item of `group` on the engine, ms.
+   * Engine speeds differ by as much as a dozen runs make; chosen by the number
+   * of runs alone, the longest items would end as late as the slowest engine.
    */
   private score(engine: EngineView, use: ReadonlyUse, group: string): number {
     const isShared = use.groups.has(group);
@@ -173,7 +195,9 @@
     return this.predictGapMs(engine.id, runs);
   }
 
-  /** Gap between the events of each of `runs` runs on an engine, ms. */
+  /**
+   * Predicted gap between the events of each of `runs` runs on an engine, ms.
+   */
   private predictGapMs(engineId: string, runs: number): number {
     const penalty = this.slow.has(engineId) ? SLOW_PENALTY : 1;
     return this.getPaceMs(engineId) * penalty * computeCrowdingFactor(runs);
--- a/packages/core/src/batches/run_table.ts
+++ b/packages/core/src/batches/run_table.ts
@@ -1,4 +1,4 @@
-/** The runs that go on, with their number on each engine. */
+/** The current runs, with their number on each engine. */
 
 import type {Run} from './batch_job.js';
 
@@ -12,7 +12,7 @@
     this.count(run, 1);
   }
 
-  /** False if the run was over before. */
+  /** Returns false if the run had already been removed. */
   delete(run: Run): boolean {
     if (!this.runs.delete(run.id)) return false;
     this.count(run, -1);
@@ -33,7 +33,7 @@
     return sum;
   }
 
-  /** Runs of `model` on an engine. */
+  /** Number of runs of `model` on an engine. */
   countModelAt(engineId: string, model: string): number {
     return this.counts.get(engineId)?.get(model) ?? 0;
   }
--- a/packages/core/src/batches/schedule_action.ts
+++ b/packages/core/src/batches/schedule_action.ts
@@ -1,28 +1,33 @@
-/** What the batch scheduler is told of runs, and what it asks of its owner. */
+/**
+ * Events of runs that the batch scheduler handles, and actions that it requests
+ * from its owner.
+ */
 
 import type {ItemResult} from './batch_record.js';
 import type {Run} from './batch_job.js';
 
 /** How a run ended. */
 export type RunEnd =
-  /** The whole output was received. */
+  /** The complete output was received. */
   | 'finished'
   /** The engine answered that the attempt failed. */
   | 'failed'
   /** The engine answered that the item can never be done. */
   | 'impossible'
-  /** The engine did not run it: it was full or loading. */
+  /** The engine did not run it because it was full or loading. */
   | 'refused'
-  /** Another engine has the address, or it has another version. */
+  /**
+   * The address belongs to another engine, or the engine has another version.
+   */
   | 'misdirected'
   /** No connection could be made. */
   | 'unreachable'
-  /** The connection broke, or what came was no proper output. */
+  /** The connection broke, or the response was not valid output. */
   | 'broken'
-  /** Ended on the scheduler's word. */
+  /** Stopped by the scheduler. */
   | 'stopped';
 
-/** What the owner of the scheduler is to do. */
+/** An action for the owner of the scheduler. */
 export type ScheduleAction =
   | {readonly kind: 'start'; readonly run: Run; readonly reason: StartReason}
   | {readonly kind: 'stop'; readonly run: Run; readonly reason: StopReason}
--- a/packages/core/src/batches/trim_tracker.ts
+++ b/packages/core/src/batches/trim_tracker.ts
@@ -1,7 +1,7 @@
 /**
- * Tells when records of a partition are old enough to be trimmed, from the times
- * at which their writer appended. A log that holds only so much in all refuses
- * every append once it is full, whatever its own retention.
+ * Determines which records of a partition are old enough to be trimmed, from
+ * the times at which their writer appended them. A log with a limited total
+ * size refuses every append once it is full, whatever its own retention.
  */
 
 interface Sample {
@@ -9,19 +9,19 @@
   readonly atMs: number;
 }
 
-/** Marks are this part of the kept time apart. */
+/** Number of append times that are stored per retention time. */
 const SAMPLES_PER_RETENTION = 6;
 
 export class TrimTracker {
-  /** The oldest first. */
+  /** Oldest first. */
   private samples: Sample[] = [];
 
-  /** @param retentionMs How long records stay. */
+  /** @param retentionMs How long records are retained. */
   constructor(private readonly retentionMs: number) {}
 
   /**
-   * Takes note that a record stands at `offset`; says before which offset all
-   * records are older than the kept time, if that is news. Times are steady ms.
+   * Records an append at `offset` (steady ms). Returns the offset before which
+   * all records have outlived the retention, if it has advanced.
    */
   recordAppend(offset: number, nowMs: number): number | undefined {
     const last = this.samples.at(-1);
--- a/packages/core/src/crashes/__tests__/request_fingerprint.spec.ts
+++ b/packages/core/src/crashes/__tests__/request_fingerprint.spec.ts
@@ -14,15 +14,15 @@
   };
 }
 
-test('a repeat has the fingerprint of the first', t => {
+test('a repeated request has the same fingerprint', t => {
   t.is(
     fingerprintRequest(createContent()),
     fingerprintRequest(createContent()),
   );
 });
 
-// Guards against one request being blamed for another one.
-test('requests that differ in any part have fingerprints of their own', t => {
+// Guards against a request being blamed for another one.
+test('requests that differ in any part have different fingerprints', t => {
   const all = [
     createContent(),
     createContent({method: 'PUT'}),
--- a/packages/core/src/crashes/crash_registry.ts
+++ b/packages/core/src/crashes/crash_registry.ts
@@ -1,42 +1,51 @@
 /**
- * What is known of requests beside which endpoints crashed: from how many
- * crashes on a request is held back, and for how long.
+ * Tracks requests that were in flight on endpoints when these crashed, and
+ * decides after how many crashes a request is quarantined and for how long.
  *
- * The load this answers: a request that crashes whichever endpoint runs it and
- * that its caller sends again, at any VM, beside requests that only ran where
- * another one crashed the endpoint. Those end well at their next endpoint, which
- * clears them; it never does.
+ * Some requests crash every endpoint that runs them, and callers repeat them
+ * through any VM. Other requests only happened to be in flight on the crashed
+ * endpoint: they complete on their next endpoint, which clears them, while a
+ * crashing request never completes.
  */
 
-/** One crash of an endpoint that had the request. */
+/** One crash of an endpoint on which the request was in flight. */
 export interface CrashRecord {
   readonly endpointId: string;
   /** Unix ms. */
   readonly atMs: number;
-  /** How much it speaks against the request. */
+  /** How strongly the crash implicates the request. */
   readonly weight: number;
 }
 
 /** Whether a request may run. */
 export type QuarantineStatus =
   | {readonly kind: 'clear'}
-  /** Was beside a crash: it may run, but at one endpoint at a time. */
+  /**
+   * Was in flight during a crash: it may run, but on one endpoint at a time.
+   */
   | {readonly kind: 'suspect'}
   | {
       readonly kind: 'held';
-      /** Unix ms at which it may be tried once more. */
+      /** Unix ms from which one probe may run. */
       readonly untilMs: number;
     };
 
-/** Weight of a crash soon after the request began there, and of a later one. */
+/**
+ * Weights of a crash soon after the request started on the endpoint, and of a
+ * later one.
+ */
 export const EARLY_WEIGHT = 2;
 export const LATE_WEIGHT = 1;
-/** Weight from which a request is held back: three crashes soon after its start. */
+/**
+ * Weight from which a request is quarantined: three crashes soon after its
+ * start.
+ */
 const QUARANTINE_WEIGHT = 3 * EARLY_WEIGHT;
 /**
- * How long it is held back after its last crash, ms, longer for each one more: a
- * try soon, which clears a bystander, and at most three more in a day, so that an
- * endpoint that was mended gets the request again.
+ * Length of the quarantine after the last crash, ms, growing with each further
+ * crash. The first probe comes soon, which clears an innocent request; after
+ * that there are at most three a day, so that a repaired endpoint gets the
+ * request again.
  */
 const QUARANTINE_PERIODS_MS: readonly number[] = [
   1000,
@@ -45,38 +54,59 @@
   6 * 3_600_000,
   24 * 3_600_000,
 ];
-/** VMs try a held request again at times that differ by up to this share of its hold, so that one of them learns first. */
+/**
+ * Share of the quarantine by which VMs spread their probes, so that one VM
+ * learns the outcome before the others probe.
+ */
 const QUARANTINE_JITTER = 0.3;
-/** While one try is under way no other one begins, ms; a crash is known sooner. */
+/**
+ * No other probe starts while one may be running, ms; a crash is reported
+ * sooner than this.
+ */
 const PROBE_MS = 2000;
-/** Two VMs that tell of one endpoint within this time tell of one crash, ms. */
+/**
+ * Reports of several VMs about one endpoint within this time, ms, refer to the
+ * same crash.
+ */
 const SAME_CRASH_MS = 1000;
-/** A request that is not held back is forgotten after this long without a crash, ms, one that is after the next figure. */
+/**
+ * How long after its last crash a request is dropped, ms: if it is not
+ * quarantined, and if it is.
+ */
 const SUSPECT_RETENTION_MS = 30 * 60_000;
 const QUARANTINE_RETENTION_MS = 48 * 3_600_000;
-/** Marks that one request keeps, the newest: more change nothing. */
+/**
+ * Crashes stored per request, the newest; further ones would not change the
+ * decision.
+ */
 const MAX_CRASHES = 8;
-/** Requests that are kept; those that were told of longest ago go first. */
+/**
+ * Maximum number of tracked requests; the least recently reported are dropped
+ * first.
+ */
 export const MAX_REQUESTS = 1000;
 
 const CLEAR: QuarantineStatus = {kind: 'clear'};
 const SUSPECT: QuarantineStatus = {kind: 'suspect'};
 
 interface Entry {
-  /** By time. */
+  /** Ordered by time. */
   crashes: readonly CrashRecord[];
-  /** Unix ms until which a try is under way. */
+  /** Unix ms until which a probe may be running. */
   probeUntilMs: number;
 }
 
 export class CrashRegistry {
-  /** By fingerprint, the one that was told of longest ago first. */
+  /** By fingerprint, the least recently reported first. */
   private readonly entries = new Map<string, Entry>();
 
-  /** @param jitter In [0, 1): differs between VMs. */
+  /** @param jitter In [0, 1), different on each VM. */
   constructor(private readonly jitter: number) {}
 
-  /** Requests that are kept; with none of them no request needs its fingerprint. */
+  /**
+   * Number of tracked requests. While it is 0, no fingerprint needs to be
+   * computed.
+   */
   get size(): number {
     return this.entries.size;
   }
@@ -97,25 +127,33 @@
     return nowMs < untilMs ? {kind: 'held', untilMs} : SUSPECT;
   }
 
-  /** Whether the request was held back, so that it runs for a try only. */
+  /**
+   * Whether the request has been quarantined, so that any run of it is a probe.
+   */
   runsAsProbe(fingerprint: string): boolean {
     const entry = this.entries.get(fingerprint);
     return entry !== undefined && this.findQuarantineEnd(entry) !== undefined;
   }
 
-  /** The request begins at an endpoint; where it was held back that is its one try. */
+  /**
+   * Records that the request starts on an endpoint; for a quarantined request
+   * this is its single probe.
+   */
   recordStart(fingerprint: string, nowMs: number): void {
     const entry = this.entries.get(fingerprint);
     if (entry && reachesQuarantine(entry))
       entry.probeUntilMs = nowMs + PROBE_MS;
   }
 
-  /** An endpoint crashed that had the request. */
+  /** Records that an endpoint crashed while the request was in flight on it. */
   recordCrash(fingerprint: string, crash: CrashRecord): void {
     this.merge(fingerprint, [crash], crash.atMs);
   }
 
-  /** Takes what another VM knows; a clock that is ahead there counts as this one. */
+  /**
+   * Merges crashes reported by another VM. Times ahead of this VM's clock count
+   * as now.
+   */
   merge(
     fingerprint: string,
     crashes: readonly CrashRecord[],
@@ -129,18 +167,21 @@
     const merged = mergeCrashes([...(existing?.crashes ?? []), ...clamped]);
     this.entries.delete(fingerprint);
     const probeUntilMs = existing?.probeUntilMs ?? -Infinity;
-    this.entries.set(fingerprint, {
-      crashes: merged,
-      probeUntilMs: probeUntilMs,
-    });
+    this.entries.set(fingerprint, {crashes: merged, probeUntilMs});
   }
 
-  /** The request ran to its end, so it is not what crashes endpoints; says whether it was kept. */
+  /**
+   * Clears a request that completed, since it can not be what crashes
+   * endpoints. Returns whether it was tracked.
+   */
   clear(fingerprint: string): boolean {
     return this.entries.delete(fingerprint);
   }
 
-  /** Forgets what is old, or too much; returns the fingerprints of these. */
+  /**
+   * Removes entries that are too old or exceed the maximum, and returns their
+   * fingerprints.
+   */
   prune(nowMs: number): readonly string[] {
     const removed: string[] = [];
     for (const [fingerprint, entry] of this.entries) {
@@ -155,7 +196,7 @@
     return removed;
   }
 
-  /** Unix ms until which the request is held back; undefined where it is not. */
+  /** Unix ms until which the request is quarantined; undefined if it is not. */
   private findQuarantineEnd(entry: Entry): number | undefined {
     if (!reachesQuarantine(entry)) return undefined;
     const weight = this.computeUnexplainedWeight(entry);
@@ -172,7 +213,10 @@
     return Math.max(endMs, entry.probeUntilMs);
   }
 
-  /** A crash has one cause: where a request that weighs more was there too, it is taken for that. */
+  /**
+   * Weight of the crashes that no heavier request explains. A crash has one
+   * cause: it is attributed to the heaviest request that was in flight.
+   */
   private computeUnexplainedWeight(entry: Entry): number {
     const weight = sumWeights(entry);
     const heavier = [...this.entries.values()].filter(
@@ -188,7 +232,7 @@
   }
 }
 
-/** In order of time, one mark for each crash. */
+/** Orders records by time and merges those of the same crash. */
 function mergeCrashes(crashes: readonly CrashRecord[]): readonly CrashRecord[] {
   const merged: CrashRecord[] = [];
   for (const crash of [...crashes].sort((a, b) => a.atMs - b.atMs)) {
--- a/packages/core/src/crashes/recent_answers.ts
+++ b/packages/core/src/crashes/recent_answers.ts
@@ -1,12 +1,17 @@
 /**
- * Requests that endpoints answered lately. A request that is asked all the time
- * is beside most crashes; what it was answered a moment ago clears it, on all
- * VMs, as it can not be what crashes endpoints.
+ * Requests that endpoints answered recently. A request that is sent continually
+ * is in flight during most crashes. A recent answer on any VM clears it, as it
+ * shows that the request does not crash endpoints.
  */
 
-/** An answer speaks for a request for this long, ms: one that has begun to crash endpoints since is not answered any more. */
+/**
+ * How long an answer clears its request, ms. A request that has started to
+ * crash endpoints gets no further answers, so its last one soon expires.
+ */
 const ANSWER_VALIDITY_MS = 10_000;
-/** Requests that are kept, the last answered. */
+/**
+ * Maximum number of tracked requests; the most recently answered are retained.
+ */
 export const MAX_ANSWERED = 1000;
 
 export class RecentAnswers {
--- a/packages/core/src/crashes/request_fingerprint.ts
+++ b/packages/core/src/crashes/request_fingerprint.ts
@@ -1,22 +1,33 @@
-/** Names a request by what it asks, so that its repeats are known for the same. */
+/**
+ * Identifies a request by its content, so that repeats of it are recognized.
+ */
 
 import {createHash} from 'node:crypto';
 
-/** What makes two requests the same, whichever VM and endpoint they go through. */
+/**
+ * The parts that make two requests equal, whichever VM and endpoint they pass
+ * through.
+ */
 export interface RequestContent {
   readonly method: string;
   readonly host: string;
-  /** With its query. */
+  /** Including the query. */
   readonly path: string;
-  /** Client account; another account's request is another one. */
+  /** Client account; equal requests of two accounts are different requests. */
   readonly account?: string;
   readonly body: Uint8Array;
 }
 
-/** Hexadecimal digits kept: 128 bits, which no two requests share by chance. */
+/**
+ * Hexadecimal digits of the fingerprint: 128 bits make accidental collisions
+ * negligible.
+ */
 const DIGITS = 32;
 
-/** Equal for equal requests; tells nothing of their content. */
+/**
+ * Returns the same fingerprint for equal requests; it reveals nothing of their
+ * content.
+ */
 export function fingerprintRequest(content: RequestContent): string {
   const {method, host, path, account, body} = content;
   const head = JSON.stringify([method, host, path, account ?? null]);
--- a/packages/core/src/fleet/__tests__/endpoint_roster.spec.ts
+++ b/packages/core/src/fleet/__tests__/endpoint_roster.spec.ts
@@ -24,7 +24,7 @@
   return roster.listUsable('app', nowMs).map(({id}) => id);
 }
 
-test('a draining endpoint gets nothing new', t => {
+test('a draining endpoint gets no new work', t => {
   const roster = new EndpointRoster(GRACE_MS);
   t.is(roster.put(createEntry(), 0).kind, 'joined');
   const draining = createEntry({sequence: 2, isDraining: true});
@@ -32,27 +32,28 @@
   t.deepEqual(listIds(roster), []);
 });
 
-// Work goes to an endpoint that left.
-// 1. The endpoint reports that it drains; an earlier write of it was held up.
-// 2. The earlier write lands behind the later one and says that it is ready.
-// Cause: the newest record is not the newest state.
-test('a write that was held up does not undo a later one', t => {
+// Guards against work that is sent to an endpoint that has left.
+// 1. An endpoint reports that it drains while an earlier write of it is
+//    delayed.
+// 2. The earlier write, which reports it ready, lands after the later one.
+// The newest record does not always hold the newest state.
+test('a delayed write does not undo a later one', t => {
   const roster = new EndpointRoster(GRACE_MS);
   roster.put(createEntry({sequence: 5, isDraining: true}), 1);
   t.is(roster.put(createEntry({sequence: 4}), 2).kind, 'stale');
   t.deepEqual(listIds(roster), []);
 });
 
-test('a restart under the same id begins anew, and its former life is over', t => {
+test('a restart under the same id starts over, and its former incarnation has ended', t => {
   const roster = new EndpointRoster(GRACE_MS);
   roster.put(createEntry({sequence: 9, isDraining: true}), 1);
-  const reborn = createEntry({startedAtMs: 2000, sequence: 0});
-  t.is(roster.put(reborn, 2).kind, 'reborn');
+  const restarted = createEntry({startedAtMs: 2000, sequence: 0});
+  t.is(roster.put(restarted, 2).kind, 'reborn');
   t.deepEqual(listIds(roster), ['e1']);
   t.is(roster.put(createEntry({sequence: 10}), 3).kind, 'stale');
 });
 
-test('an endpoint whose entry vanished is used for the grace time only', t => {
+test('an endpoint whose entry disappeared is used for the grace time only', t => {
   const roster = new EndpointRoster(GRACE_MS);
   roster.put(createEntry(), 1);
   t.is(roster.remove('e1', 2, 100)?.kind, 'left');
@@ -61,7 +62,7 @@
   t.is(roster.sweep(100 + GRACE_MS).length, 1);
 });
 
-test('an entry that is back in time was never gone', t => {
+test('an entry that returns within the grace time cancels its removal', t => {
   const roster = new EndpointRoster(GRACE_MS);
   roster.put(createEntry(), 1);
   roster.remove('e1', 2, 100);
@@ -69,10 +70,10 @@
   t.deepEqual(listIds(roster, 100 + 10 * GRACE_MS), ['e1']);
 });
 
-// A removed endpoint comes back from a page of older records.
+// Guards against a removed endpoint that returns with a page of older records.
 // 1. The entry is removed at offset 5.
-// 2. A page of the newest records, read before, still has it at offset 4.
-// Cause: pages are not a snapshot.
+// 2. A page of records that was read before still has it at offset 4.
+// Pages are not a snapshot.
 test('an older record does not undo a removal', t => {
   const roster = new EndpointRoster(0);
   roster.put(createEntry(), 4);
--- a/packages/core/src/fleet/__tests__/load_limiter.spec.ts
+++ b/packages/core/src/fleet/__tests__/load_limiter.spec.ts
@@ -11,7 +11,7 @@
   recordLoad: LoadLimiter['recordLoad'];
 }
 
-/** A fixed share of the engines loads, however long that takes. */
+/** A fixed share of the engines loads, however long loads take. */
 const SHARE_POLICY: LoadPolicy = {
   computeLimit: engineCount => Math.max(2, Math.floor(engineCount * 0.29)),
   recordLoad: () => undefined,
@@ -28,8 +28,8 @@
 }
 
 /**
- * Engines that always have something to load. Up to `atOnce` loads go on
- * undisturbed; more share what these would get.
+ * Simulates engines that always have something to load. Up to `atOnce` loads
+ * run at full speed; more of them share that capacity.
  */
 function playLoads(
   policy: LoadPolicy,
@@ -56,7 +56,10 @@
   return ended;
 }
 
-/** Engines that have the version within the time between two versions. */
+/**
+ * Returns how many engines have the version within the time between two
+ * versions.
+ */
 function countInTime(loads: readonly Span[]): number {
   return loads.filter(({startedMs, tookMs}) => startedMs + tookMs <= VERSION_MS)
     .length;
@@ -67,21 +70,23 @@
   return Math.max(...late.map(({tookMs}) => tookMs));
 }
 
-// Guards against engines of a large fleet that load so many at once that a version comes too late for its step.
+// Guards against a large fleet that loads so many engines at once that a
+// version comes too late for its step.
 test('a version reaches enough engines of a large fleet in time', t => {
   const fleet = {engines: 1000, atOnce: 10};
   t.is(countInTime(playLoads(SHARE_POLICY, fleet, VERSION_MS)), 0);
   t.true(countInTime(playLoads(new LoadLimiter(), fleet, VERSION_MS)) >= 35);
 });
 
-test('loads are found to slow each other within a few versions, and are fewer then', t => {
+test('the limit falls within a few versions when loads slow each other', t => {
   const fleet = {engines: 1000, atOnce: 12};
   const loads = playLoads(new LoadLimiter(), fleet, 60_000);
   t.true(findLongest(loads, 20_000) < 2 * LOAD_MS);
 });
 
-// Guards against a first number of loads at once that stays where more would do.
-test('a fleet that can load many at once does', t => {
+// Guards against a limit that stays at its initial value where more loads would
+// be possible.
+test('the limit grows in a fleet that can load many engines at once', t => {
   const fleet = {engines: 3000, atOnce: 200};
   const limiter = new LoadLimiter();
   const loads = playLoads(limiter, fleet, 8000);
@@ -89,8 +94,9 @@
   t.true(findLongest(loads, 0) < 2 * LOAD_MS);
 });
 
-// Guards against one load that seemed short, as its order was accepted before it was heard of, after which all others count as slow.
-test('one load that seems short does not keep a fleet from loading more at once', t => {
+// Guards against a single load that seems short because its order was accepted
+// before it was observed: all other loads would count as slow.
+test('one load that seems short does not keep the limit from growing', t => {
   const fleet = {engines: 3000, atOnce: 200};
   const limiter = new LoadLimiter();
   const before = limiter.computeLimit(fleet.engines);
@@ -99,8 +105,9 @@
   t.true(limiter.computeLimit(fleet.engines) >= 150);
 });
 
-// Guards against a number that falls to a fraction of what is carried, as loads that began beside too many still end late.
-test('after too many loads at once about as many as are carried go on', t => {
+// Guards against a limit that falls to a fraction of the capacity because loads
+// that started together with too many others still end late.
+test('after too many loads at once the limit settles near the capacity', t => {
   const fleet = {engines: 3000, atOnce: 60};
   for (let lengthMs = 10_000; lengthMs <= 30_000; lengthMs += 500) {
     const played = new LoadLimiter();
@@ -134,7 +141,7 @@
   t.is(limiter.computeLimit(34), before);
 });
 
-test('the length of loads that is expected follows them', t => {
+test('the expected duration follows the duration of loads', t => {
   const limiter = new LoadLimiter();
   for (let i = 0; i < 40; i++) {
     limiter.recordLoad({startedMs: i, endedMs: i + 400}, 2, true);
--- a/packages/core/src/fleet/__tests__/speed_tracker.spec.ts
+++ b/packages/core/src/fleet/__tests__/speed_tracker.spec.ts
@@ -1,7 +1,7 @@
 import test from 'ava';
 import {computeCrowdingFactor, SpeedTracker} from '../speed_tracker.js';
 
-/** Notes `count` gaps of `gapMs` for an endpoint, the last at `untilMs`. */
+/** Records `count` gaps of `gapMs` for an endpoint, the last at `untilMs`. */
 function recordGaps(
   tracker: SpeedTracker,
   id: string,
@@ -21,10 +21,10 @@
   t.deepEqual([...tracker.listSlow(3000)], ['c']);
 });
 
-// Work moves back and forth between engines of equal speed.
-// 1. An engine loads new weights; each of its runs pauses for a second once.
-// 2. The pauses count as gaps, and it looks three times slower than others.
-test('a pause is no slowness', t => {
+// Guards against work that moves back and forth between equally fast engines.
+// 1. An engine loads new weights; each of its runs pauses once for a second.
+// 2. The pauses count as gaps, and it seems three times slower than others.
+test('a pause does not count as slowness', t => {
   const tracker = new SpeedTracker();
   recordGaps(tracker, 'a', 40, 2000);
   recordGaps(tracker, 'b', 40, 2000);
@@ -45,29 +45,29 @@
   t.is(tracker.listSlow(6000).size, 0);
 });
 
-test('what was seen long ago says nothing', t => {
+test('old readings do not count', t => {
   const tracker = new SpeedTracker();
   recordGaps(tracker, 'a', 40, 1000);
   recordGaps(tracker, 'b', 200, 4000);
   t.is(tracker.listSlow(9000).size, 0);
 });
 
-test('a full endpoint is not taken for a slow one', t => {
+test('a full endpoint does not count as slow', t => {
   const tracker = new SpeedTracker();
   const full = 40 * computeCrowdingFactor(16);
   for (let i = 0; i < 20; i++) {
-    tracker.record('lone', 40, 1, i * 40);
+    tracker.record('single', 40, 1, i * 40);
     tracker.record('full', full, 16, i * full);
   }
-  const lonePace = tracker.findPaceMs('lone', 1000)!;
-  t.true(Math.abs(tracker.findPaceMs('full', 1000)! - lonePace) < 0.01);
+  const singlePace = tracker.findPaceMs('single', 1000)!;
+  t.true(Math.abs(tracker.findPaceMs('full', 1000)! - singlePace) < 0.01);
 });
 
-// An engine that was slow for a while never gets work again.
-// 1. It becomes three times slower and is left.
-// 2. It recovers, but nothing runs there that could show it.
-// Cause: the last reading kept as what the engine is like.
-test('an old reading gives way to what the endpoint is like in health', t => {
+// Guards against an engine that was slow for a while and never gets work again.
+// 1. It becomes three times slower and its runs move away.
+// 2. It recovers, but no run is left there that could show it.
+// The last reading was taken for the engine's speed without a time limit.
+test('an expired reading is replaced by the best pace of the endpoint', t => {
   const tracker = new SpeedTracker();
   recordGaps(tracker, 'a', 40, 2000);
   recordGaps(tracker, 'a', 120, 6000, 40);
--- a/packages/core/src/fleet/__tests__/weight_plan.spec.ts
+++ b/packages/core/src/fleet/__tests__/weight_plan.spec.ts
@@ -31,7 +31,7 @@
   return {newest: 5, minVersion: 4, waiting: 0, share: 2, ...extra};
 }
 
-/** Engines that carry out each load at once, for the rounds of a whole day. */
+/** Simulated engines that complete each load at once. */
 class LoadingFleet {
   readonly versions = new Map<string, Map<string, number>>();
   readonly loads = new Map<string, number>();
@@ -56,7 +56,10 @@
     );
   }
 
-  /** Loads `newest` as the plan says until it wants no more; returns who did. */
+  /**
+   * Loads `newest` until no more loads are planned; returns the engines that
+   * loaded.
+   */
   loadAll(
     model: string,
     newest: number,
@@ -76,14 +79,14 @@
     }
   }
 
-  /** Engines that may serve a step that allows `oldest`. */
+  /** Returns how many engines may serve a step that allows `oldest`. */
   countFit(model: string, oldest: number): number {
     const versions = [...this.versions.get(model)!.values()];
     return versions.filter(version => version >= oldest).length;
   }
 }
 
-test('each model has an equal part of the engines load a version', t => {
+test('each model gets an equal share of the engines to load a version', t => {
   t.is(computeShare(6, 3, 2), 2);
   t.is(computeShare(34, 3, 2), 11);
   t.is(computeShare(4, 3, 2), 2);
@@ -91,7 +94,7 @@
   t.is(computeShare(0, 3, 2), 0);
 });
 
-test('nothing loads while as many engines as wanted have the newest version', t => {
+test('nothing loads while enough engines have the newest version', t => {
   const engines = [
     createCandidate('e0', {version: 5}),
     createCandidate('e1', {loadingVersion: 5, isBusy: true}),
@@ -100,11 +103,10 @@
   t.deepEqual(pickLoads(engines, createNeed(), MAX_LOADS), []);
 });
 
-// A step waits for the engines that it uses while others hold weights that no
-// step may use any more.
-// 1. The newest version is named while a step runs on the version before.
-// 2. The engines of that step load and stop its items for a second.
-// Cause: a version loaded where the one before is in use.
+// Guards against a step whose engines load while others hold outdated weights.
+// 1. The newest version is published while a step runs on the previous one.
+// 2. The engines of that step load and pause its items for a second.
+// Engines with the version in use were chosen to load.
 test('engines whose weights are too old for the next step load first', t => {
   const engines = [
     createCandidate('e0', {version: 4, gapMs: 20}),
@@ -116,7 +118,7 @@
   t.deepEqual(pickLoads(engines, need, MAX_LOADS), ['e2', 'e3']);
 });
 
-test('of those the idle and the fast ones load', t => {
+test('of the outdated engines, the idle and the fast ones load first', t => {
   const engines = [
     createCandidate('e0', {version: 3, running: 1, gapMs: 20}),
     createCandidate('e1', {version: 3, gapMs: 46}),
@@ -126,7 +128,7 @@
   t.deepEqual(pickLoads(engines, createNeed(), MAX_LOADS), ['e2', 'e3']);
 });
 
-// All trainers wait for two engines while four are idle.
+// Guards against trainers that wait for two engines while four are idle.
 // 1. The coordinator starts when two engines are listed; both load.
 // 2. The others are listed a second later and never get a version.
 test('engines that are listed later load the next version', t => {
@@ -136,7 +138,7 @@
   t.deepEqual(pickLoads([...early, ...later], need, MAX_LOADS), ['e2', 'e3']);
 });
 
-test('a slow engine is replaced and does not load', t => {
+test('another engine loads in place of a slow one', t => {
   const engines = [
     createCandidate('e0', {version: 5}),
     createCandidate('e1', {version: 5, isSound: false}),
@@ -146,14 +148,14 @@
   t.deepEqual(pickLoads(engines, createNeed(), MAX_LOADS), ['e3']);
 });
 
-test('with no sound engine the others load', t => {
+test('if no engine is sound, the unsound ones load', t => {
   const engines = [0, 1].map(i =>
     createCandidate(`e${i}`, {version: 3, isSound: false}),
   );
   t.deepEqual(pickLoads(engines, createNeed(), MAX_LOADS), ['e0', 'e1']);
 });
 
-test('where all engines serve the step they load one after the other', t => {
+test('if all engines serve the step, they load one after another', t => {
   const busy = createCandidate('e1', {running: 8, free: 0});
   const idle = createCandidate('e0');
   t.deepEqual(pickLoads([idle, busy], createNeed(), MAX_LOADS), ['e0']);
@@ -171,10 +173,10 @@
   t.deepEqual(pickLoads([done, fits], createNeed(), MAX_LOADS), ['e1']);
 });
 
-// A step waits for a second while no engine can serve it.
-// 1. Each engine goes on with the last step and none has loaded since.
+// Guards against a step that waits for a second while no engine can serve it.
+// 1. All engines still run the last step and none has loaded since.
 // 2. The next step may not use their weights.
-test('where no engine can serve the step they load at once, idle ones first', t => {
+test('if no engine can serve the step, they load at once, idle ones first', t => {
   const need = createNeed({newest: 6, minVersion: 5, waiting: 3, share: 1});
   const engines = [3, 0, 1].map((running, i) =>
     createCandidate(`e${i}`, {running}),
@@ -193,7 +195,7 @@
   t.deepEqual(pickLoads(engines, createNeed(), -1), []);
 });
 
-test('versions go round: a step finds twice as many engines as load', t => {
+test('versions rotate: a step can use twice as many engines as load', t => {
   const fleet = new LoadingFleet(6);
   for (let version = 2; version <= 12; version++) {
     for (const model of MODELS) {
@@ -206,7 +208,7 @@
   t.true(Math.max(...loads) - Math.min(...loads) <= 3);
 });
 
-test('each model gets its newest version whatever engines fail', t => {
+test('each model gets its newest version whichever engines fail', t => {
   fc.assert(
     fc.property(
       fc.integer({min: 1, max: 12}),
@@ -234,7 +236,8 @@
   );
 });
 
-// A step waits for seconds though engines could load for it.
+// Guards against a step that waits for seconds although engines could load for
+// it.
 // 1. A coordinator is replaced; three models are behind and two engines may
 //    load at once.
 // 2. Models load in a fixed order; the last one has a step that no engine may
--- a/packages/core/src/fleet/endpoint_entry.ts
+++ b/packages/core/src/fleet/endpoint_entry.ts
@@ -1,16 +1,16 @@
-/** What the platform's list says of one endpoint. */
+/** Entry of one endpoint in the platform's list. */
 
-/** One model on an engine with the weight version it has. */
+/** A model on an engine and its weight version. */
 export interface ModelVersion {
   readonly model: string;
   readonly version: number;
 }
 
 export interface EndpointEntry {
-  /** Of the endpoint; an entry is stored under it. */
+  /** Endpoint id, under which the entry is stored. */
   readonly id: string;
   readonly service: string;
-  /** IP number. */
+  /** IP address. */
   readonly host: string;
   readonly port: number;
   readonly dataCentre: string;
@@ -19,13 +19,16 @@
   readonly isDraining: boolean;
   /** Empty for plain services. */
   readonly models: readonly ModelVersion[];
-  /** Unix ms of the start of this life, 0 where it is not told; an endpoint may restart under its id. */
+  /**
+   * Unix ms at which this incarnation started, 0 if unknown; an endpoint may
+   * restart under the same id.
+   */
   readonly startedAtMs: number;
-  /** Counts the endpoint's writes in this life. */
+  /** Number of the endpoint's writes in this incarnation. */
   readonly sequence: number;
 }
 
-/** Whether `next` tells of the same life and place as `prev`. */
+/** Whether both entries describe the same incarnation at the same address. */
 export function isSameIncarnation(
   prev: EndpointEntry,
   next: EndpointEntry,
--- a/packages/core/src/fleet/endpoint_roster.ts
+++ b/packages/core/src/fleet/endpoint_roster.ts
@@ -1,7 +1,8 @@
 /**
- * The endpoints that may get work, folded from the platform's list. An entry
- * that is older than what is known is ignored; one that is gone is used for a
- * short while yet, since lists lose entries while their store is away.
+ * The endpoints that may get work, folded from the platform's list. Entries
+ * older than the current one are ignored. An endpoint whose entry disappeared
+ * is used for a short grace time, since lists lose entries while their store is
+ * unavailable.
  */
 
 import {type EndpointEntry, isSameIncarnation} from './endpoint_entry.js';
@@ -9,7 +10,7 @@
 /** What an entry changed. */
 export type RosterChange =
   | {readonly kind: 'joined'; readonly entry: EndpointEntry}
-  /** The endpoint restarted or moved: what was known of it is void. */
+  /** The endpoint restarted or moved, so state collected about it is void. */
   | {readonly kind: 'reborn'; readonly entry: EndpointEntry}
   | {readonly kind: 'updated'; readonly entry: EndpointEntry}
   | {readonly kind: 'draining'; readonly entry: EndpointEntry}
@@ -18,23 +19,24 @@
 
 interface Member {
   entry: EndpointEntry;
-  /** Offset of the record that said so. */
+  /** Offset of the record that last changed it. */
   offset: number;
   goneAtMs: number | undefined;
 }
 
 export class EndpointRoster {
   private readonly members = new Map<string, Member>();
-  /** Offsets of removals, so that an older entry does not undo one. */
+  /** Offsets of removals, so that an older entry does not undo a removal. */
   private readonly removals = new Map<string, number>();
 
   /**
-   * @param goneGraceMs How long an endpoint whose entry vanished is still used.
-   *     Must stay below the time that endpoints serve on after they left.
+   * @param goneGraceMs How long an endpoint whose entry disappeared is still
+   *     used. Must be shorter than the time for which endpoints keep serving
+   *     after they left.
    */
   constructor(private readonly goneGraceMs: number) {}
 
-  /** Takes an entry that stands at `offset` of the list's log. */
+  /** Applies an entry at `offset` of the list's log. */
   put(entry: EndpointEntry, offset: number): RosterChange {
     const known = this.members.get(entry.id);
     const removedAt = this.removals.get(entry.id) ?? -1;
@@ -56,7 +58,7 @@
     return {kind: isNewlyDraining ? 'draining' : 'updated', entry};
   }
 
-  /** Takes the removal of an entry that stands at `offset`. */
+  /** Applies the removal of an entry at `offset`. */
   remove(id: string, offset: number, nowMs: number): RosterChange | undefined {
     const known = this.members.get(id);
     if (known && offset <= known.offset) return undefined;
@@ -67,7 +69,7 @@
     return {kind: 'left', entry: known.entry};
   }
 
-  /** Drops endpoints that are gone for good and returns them. */
+  /** Drops endpoints whose grace time is over, and returns them. */
   sweep(nowMs: number): readonly EndpointEntry[] {
     const dropped: EndpointEntry[] = [];
     for (const [id, member] of this.members) {
@@ -78,7 +80,7 @@
     return dropped;
   }
 
-  /** The endpoint as last told, draining or not, until it is gone. */
+  /** The last entry of the endpoint, draining or not, until it is dropped. */
   get(id: string): EndpointEntry | undefined {
     return this.members.get(id)?.entry;
   }
@@ -109,9 +111,9 @@
 }
 
 /**
- * A write of an endpoint may be held up and land behind newer ones. It shows as
- * an entry of an earlier life, or with a lower count within one life; taking it
- * would send work to a worker that has left or to versions it no longer has.
+ * A write of an endpoint may be delayed and land after newer ones. It then
+ * belongs to an earlier incarnation or has a lower sequence. Applying it would
+ * send work to an endpoint that has left, or to versions that it no longer has.
  */
 function isOutdated(known: EndpointEntry, next: EndpointEntry): boolean {
   if (next.startedAtMs !== known.startedAtMs)
--- a/packages/core/src/fleet/load_limiter.ts
+++ b/packages/core/src/fleet/load_limiter.ts
@@ -1,62 +1,76 @@
 /**
- * How many engines may load weights at once, and how long a load takes.
+ * Limits how many engines load weights at once, and predicts how long a load
+ * takes.
  *
- * Engines fetch weights over something that they share. Up to a number that
- * nobody tells, loads do not slow each other; beyond it each takes longer, none
- * comes sooner, and items are sent to engines that are not ready. So the number
- * is found out: it grows while loads take what they took at their best, and
+ * Engines fetch weights over a shared resource. Up to some unknown number,
+ * loads do not slow each other. Beyond it every load takes longer, none ends
+ * sooner, and items are sent to engines that are not ready. The limiter finds
+ * this number: its limit grows while loads take about their best time, and
  * shrinks when they take much longer.
  */
 
 import {findLowerMedian} from './lower_median.js';
 
-/** One load that has ended, in ms of the steady clock. */
+/** A load that has ended; times are steady ms. */
 export interface EndedLoad {
   readonly startedMs: number;
   readonly endedMs: number;
 }
 
-/** Engines that load at once at most, as a share of all. */
+/** Maximum share of all engines that load at once. */
 const MAX_SHARE = 0.29;
-/** Engines that may load at once however few there are. */
+/** Number of engines that may always load at once, even in a small fleet. */
 const MIN_AT_ONCE = 2;
-/** Engines that may load at once until loads have shown that more may; never fewer later, as a VM that is late itself takes all loads for slow. */
+/**
+ * Initial limit until loads have shown that more are possible. The limit does
+ * not fall below it later, because a VM that is itself delayed sees all loads
+ * as slow.
+ */
 const INITIAL_AT_ONCE = 10;
-/** Loads that take this many times their best slow each other. */
+/** Loads slow each other if they take this many times their best time. */
 const SLOWDOWN_FACTOR = 1.5;
-/** Loads of which the middle one is judged, so that one slow engine, or one load that had begun before, does not count. */
+/**
+ * Number of loads whose median is judged, so that a single slow engine or a
+ * load that started earlier does not count.
+ */
 const SAMPLE_SIZE = 5;
-/** How long a load is taken to last until one was seen, ms. */
+/** Assumed duration of a load before the first one ended, ms. */
 const INITIAL_LOAD_MS = 950;
-/** Bounds on what is learned of the length of loads, ms. */
+/** Bounds on the duration of a single load, ms. */
 const MIN_LOAD_MS = 100;
 const MAX_LOAD_MS = 5000;
-/** Weight of the last load in the expected length. */
+/** Weight of the latest load in the expected duration. */
 const SMOOTHING = 0.25;
 
-/** Learns from the loads of one coordinator's term. */
+/** Learns from the loads during one coordinator's term. */
 export class LoadLimiter {
   private atOnce = INITIAL_AT_ONCE;
   private expectedLoadMs = INITIAL_LOAD_MS;
-  /** The least that a middle load of `JUDGED` took, ms. */
+  /** Least median of `SAMPLE_SIZE` loads so far, ms. */
   private bestMs = MAX_LOAD_MS;
   private samples: number[] = [];
-  /** Loads that began before this steady ms tell of a number that was given up. */
+  /**
+   * Loads that started before this time (steady ms) ran under a limit that has
+   * since been reduced.
+   */
   private sampledFromMs = -Infinity;
   private hasBeenSlowed = false;
 
-  /** How long the next load should take, ms. */
+  /** Expected duration of the next load, ms. */
   get expectedMs(): number {
     return this.expectedLoadMs;
   }
 
-  /** How many of `engineCount` engines may load at once. */
+  /** Returns how many of `engineCount` engines may load at once. */
   computeLimit(engineCount: number): number {
     const maxAtOnce = Math.floor(engineCount * MAX_SHARE);
     return Math.max(MIN_AT_ONCE, Math.min(maxAtOnce, Math.floor(this.atOnce)));
   }
 
-  /** A load has ended while `limit` engines might load at once, and as many did if `isFull`. */
+  /**
+   * Records a load that ended under `limit`; `isFull` if as many engines as
+   * allowed were loading.
+   */
   recordLoad(
     {startedMs, endedMs}: EndedLoad,
     limit: number,
@@ -71,7 +85,7 @@
     this.samples = [];
     this.bestMs = Math.min(this.bestMs, typicalMs);
     if (typicalMs > this.bestMs * SLOWDOWN_FACTOR) {
-      // Loads that began beside too many others end late as well.
+      // Loads that started together with too many others also end late.
       this.sampledFromMs = endedMs + typicalMs;
       this.shrink(limit * (this.bestMs / typicalMs));
     } else if (isFull) {
@@ -84,7 +98,10 @@
     this.hasBeenSlowed = true;
   }
 
-  /** Doubles with each round of loads until they slow each other for the first time, then one by one. */
+  /**
+   * Doubles the limit with each round of loads until they slow each other for
+   * the first time; then increases it by one per round.
+   */
   private grow(): void {
     this.atOnce += this.hasBeenSlowed ? SAMPLE_SIZE / this.atOnce : SAMPLE_SIZE;
   }
--- a/packages/core/src/fleet/speed_tracker.ts
+++ b/packages/core/src/fleet/speed_tracker.ts
@@ -1,57 +1,82 @@
 /**
- * How fast endpoints generate, from the gaps between events of the runs that
- * this VM follows. Liveness checks pass on an endpoint that has become slow, so
- * only its output tells.
+ * Tracks how fast endpoints generate, from the gaps between events of the runs
+ * on this VM. Liveness checks pass on an endpoint that has become slow, so only
+ * its output shows it.
  *
- * A gap grows with the runs beside it, and endpoints of one service differ by
- * nature. So what is kept is the pace: the gap that a lone run would see.
+ * A gap grows with the number of runs on the endpoint, and endpoints of one
+ * service differ by nature. The tracker therefore stores the pace: the gap that
+ * a single run would see.
  */
 
 import {findLowerMedian} from './lower_median.js';
 
 interface Speed {
-  /** Smoothed pace, ms an event. */
+  /** Smoothed pace, ms per event. */
   paceMs: number;
   samples: number;
   lastMs: number;
-  /** Smallest smoothed pace that was seen: what the endpoint is like in health. */
+  /** Smallest smoothed pace so far, as of a healthy endpoint. */
   bestMs: number;
 }
 
-/** Each run beside a run makes its events come this much later, as a share. */
+/** Share by which each further run on an endpoint increases the event gap. */
 const SLOWDOWN_PER_RUN = 0.023;
-/** Weight of a new sample; about the last eight count. Follows a change within half a second at usual rates. */
+/**
+ * Weight of a new sample; about the last eight count. At usual rates this
+ * follows a change within half a second.
+ */
 const SMOOTHING = 0.12;
-/** Fewer samples say nothing yet. */
+/** Minimum number of samples for a reading. */
 const MIN_SAMPLES = 6;
-/** A reading is trusted this long, ms; then the endpoint is given work again to tell. */
+/**
+ * How long a reading is valid, ms; after that the endpoint gets work again,
+ * which yields new readings.
+ */
 const READING_VALIDITY_MS = 4000;
-/** Slower than this multiple of the typical endpoint counts as slow. Endpoints differ by 1.3 by nature, slow ones by 3 and more. */
+/**
+ * An endpoint is slow beyond this multiple of the typical pace. Healthy
+ * endpoints differ by a factor of 1.3, slow ones by 3 and more.
+ */
 const SLOW_FACTOR = 1.9;
-/** A slow endpoint counts as slow until it is back below this multiple; a bound for both directions would move work back and forth. */
+/**
+ * A slow endpoint remains slow until its pace is below this multiple; a single
+ * bound would move work back and forth.
+ */
 const RECOVERED_FACTOR = 1.4;
-/** Pace of an endpoint that has shown nothing, with no other to compare, ms an event; only the proportion matters. */
+/**
+ * Assumed pace if no endpoint has a reading, ms per event; only ratios matter
+ * then.
+ */
 const UNKNOWN_PACE_MS = 40;
-/** The typical pace is worked out this often, ms; a decision follows each few ms. */
+/**
+ * How often the typical pace is recomputed, ms; decisions are made every few
+ * ms.
+ */
 const TYPICAL_REFRESH_MS = 50;
-/** A longer gap is a pause, such as a load of weights, and tells nothing of the speed, ms. The slowest engines seen make an event in 250. */
+/**
+ * A longer gap is a pause, such as a load of weights, and not a sample of the
+ * speed, ms. The slowest engines seen generate an event every 250 ms.
+ */
 const MAX_GAP_MS = 500;
 
 export class SpeedTracker {
   private readonly speeds = new Map<string, Speed>();
   private slow: ReadonlySet<string> = new Set();
   private typicalPaceMs: number | undefined;
-  /** When the typical pace was worked out last, steady ms. */
+  /** Steady ms at which the typical pace was last computed. */
   private typicalAtMs = -Infinity;
 
-  /** Two events of one run came `gapMs` apart, with `runs` on the endpoint. */
+  /**
+   * Records that two events of one run were `gapMs` apart, with `runs` on the
+   * endpoint.
+   */
   record(endpointId: string, gapMs: number, runs: number, nowMs: number): void {
     if (gapMs > MAX_GAP_MS) return;
     const paceMs = gapMs / computeCrowdingFactor(runs);
     const speed = this.speeds.get(endpointId);
     if (!speed || nowMs - speed.lastMs > READING_VALIDITY_MS) {
       const bestMs = speed?.bestMs ?? Infinity;
-      const first = {paceMs, samples: 1, lastMs: nowMs, bestMs: bestMs};
+      const first = {paceMs, samples: 1, lastMs: nowMs, bestMs};
       this.speeds.set(endpointId, first);
       return;
     }
@@ -68,8 +93,8 @@
   }
 
   /**
-   * Pace of the endpoint as far as can be told, ms an event: as it is now, or
-   * else as it was at its best, since a hindrance may have passed meanwhile.
+   * Pace of the endpoint, ms per event: the current one if there is a valid
+   * reading, otherwise the best one, as the cause of a slowdown may be gone.
    */
   findPaceMs(endpointId: string, nowMs: number): number | undefined {
     const bestMs = this.speeds.get(endpointId)?.bestMs ?? Infinity;
@@ -77,9 +102,11 @@
     return this.getCurrentPaceMs(endpointId, nowMs) ?? knownMs;
   }
 
-  /** Pace of a typical endpoint, for those that have shown nothing yet, ms an event. */
+  /**
+   * Pace of a typical endpoint, for endpoints without readings, ms per event.
+   */
   findTypicalPaceMs(nowMs: number): number | undefined {
-    // Asked for once for each endpoint that has shown nothing.
+    // Cached, as it is requested once for each endpoint without readings.
     if (nowMs - this.typicalAtMs >= TYPICAL_REFRESH_MS) {
       this.typicalAtMs = nowMs;
       this.typicalPaceMs = this.computeTypicalPaceMs(nowMs);
@@ -96,7 +123,9 @@
     return findLowerMedian(paces);
   }
 
-  /** Gap between the events of each of `runs` runs on an endpoint, ms. */
+  /**
+   * Predicted gap between the events of each of `runs` runs on an endpoint, ms.
+   */
   predictGapMs(endpointId: string, runs: number, nowMs: number): number {
     const paceMs =
       this.findPaceMs(endpointId, nowMs) ??
@@ -105,7 +134,7 @@
     return paceMs * computeCrowdingFactor(runs);
   }
 
-  /** Endpoints that are much slower than the typical one. */
+  /** Returns the endpoints that are much slower than the typical one. */
   listSlow(nowMs: number): ReadonlySet<string> {
     const paces = new Map<string, number>();
     for (const id of this.speeds.keys()) {
@@ -122,7 +151,7 @@
     return slow;
   }
 
-  /** Smoothed pace, or undefined where nothing recent is known. */
+  /** Smoothed pace, or undefined without a valid reading. */
   private getCurrentPaceMs(
     endpointId: string,
     nowMs: number,
@@ -135,7 +164,10 @@
   }
 }
 
-/** How many times a lone run's gap one of `runs` runs sees. */
+/**
+ * Returns the factor by which the event gap grows if `runs` runs share an
+ * endpoint.
+ */
 export function computeCrowdingFactor(runs: number): number {
   return 1 + SLOWDOWN_PER_RUN * Math.max(runs - 1, 0);
 }
--- a/packages/core/src/fleet/weight_plan.ts
+++ b/packages/core/src/fleet/weight_plan.ts
@@ -1,46 +1,51 @@
 /**
- * Which engines load a new version of a model, and when.
+ * Decides which engines load a new version of a model, and when.
  *
- * A load stops an engine's runs of that model for about a second and empties its
- * cache. A step may use the weights of the version before its own, so a model's
- * versions go round the engines: each new one is loaded by a part of them, by
- * those that hold weights too old for the next step. The engines with the
- * version before go on undisturbed, and a step finds twice as many engines as
- * load each version.
+ * A load pauses an engine's runs of the model for about a second and empties
+ * its cache. A step may also use the previous version, so versions rotate over
+ * the engines: each new one is loaded by a share of them, those whose weights
+ * are too old for the next step. Engines with the previous version continue
+ * undisturbed, and a step can use twice as many engines as load each version.
  */
 
-/** An engine as one model's plan sees it. */
+/** An engine, with regard to one model. */
 export interface LoadCandidate {
   readonly id: string;
-  /** Version of the model that it has. */
+  /** Its current version of the model. */
   readonly version: number;
-  /** Version of the model that it loads now, if it does. */
+  /** Version of the model that it is loading, if any. */
   readonly loadingVersion?: number | undefined;
-  /** Whether it can not be ordered now: it carries out an order, for any model, or may have had one from another VM just before. */
+  /**
+   * Whether it can not be ordered now: it is executing an order for some model,
+   * or may just have got one from another VM.
+   */
   readonly isBusy: boolean;
-  /** Whether it answers and keeps pace. */
+  /** Whether it responds and is not slow. */
   readonly isSound: boolean;
-  /** Generations of the model that run there. */
+  /** Number of generations of the model that run on it. */
   readonly running: number;
-  /** Further generations that it could take. */
+  /** Number of further generations that it could run. */
   readonly free: number;
-  /** Gap between events that a further run would see there, ms. */
+  /** Predicted event gap of a further run, ms. */
   readonly gapMs: number;
 }
 
-/** What the open work of a model asks for. */
+/** Demand of the open batches of a model. */
 export interface VersionNeed {
-  /** Newest version that was named. */
+  /** Newest version that was published. */
   readonly newest: number;
-  /** Greatest minimum of all open batches; 0 for none. */
+  /** Greatest minimum version of all open batches; 0 without any. */
   readonly minVersion: number;
   /** Items that wait for an engine. */
   readonly waiting: number;
-  /** Engines that should have the newest version. */
+  /** Number of engines that should have the newest version. */
   readonly share: number;
 }
 
-/** Engines of a service that load each version of a model: an equal part for each model. */
+/**
+ * Returns how many engines of a service load each version of a model; models
+ * get equal shares.
+ */
 export function computeShare(
   engineCount: number,
   modelCount: number,
@@ -53,26 +58,27 @@
 /**
  * Picks the engines of one model that should load the newest version now.
  *
- * @param maxMore Loads that may begin beside those of other models.
+ * @param maxNewLoads Number of loads that may start in addition to those of
+ *     other models.
  */
 export function pickLoads(
   candidates: readonly LoadCandidate[],
   need: VersionNeed,
-  maxMore: number,
+  maxNewLoads: number,
 ): readonly string[] {
   const usable = chooseUsable(candidates);
   const missing = need.share - usable.filter(c => isNewest(c, need)).length;
-  if (missing <= 0 || maxMore <= 0) return [];
+  if (missing <= 0 || maxNewLoads <= 0) return [];
   const outdated = usable.filter(c => !c.isBusy && !isNewest(c, need));
   const unfit = outdated.filter(c => !isFitForNext(c, need));
   const picked =
     unfit.length > 0
       ? unfit.sort(compareUnfit)
       : pickSpare(outdated, usable, need);
-  return picked.slice(0, Math.min(missing, maxMore)).map(({id}) => id);
+  return picked.slice(0, Math.min(missing, maxNewLoads)).map(({id}) => id);
 }
 
-/** The engines and the need of one model, to compare with those of others. */
+/** The engines and demand of one model, for comparison with other models. */
 export interface ModelPlan {
   readonly model: string;
   readonly candidates: readonly LoadCandidate[];
@@ -80,10 +86,10 @@
 }
 
 /**
- * The models in the order in which they should load. Few engines load at once,
- * so a model whose step waits with no engine that may run it goes before all
- * others: in a fixed order the last model would wait behind loads that nobody
- * waits for, after a coordinator has been replaced.
+ * Returns the models in the order in which they should load. Few engines load
+ * at once, so a model whose step waits without an engine that may run it goes
+ * first. In a fixed order, after a change of coordinator, the last model would
+ * wait behind loads that nobody waits for.
  */
 export function rankModels(plans: readonly ModelPlan[]): readonly ModelPlan[] {
   return [...plans].sort(
@@ -105,7 +111,7 @@
   return candidates.filter(c => c.isSound && isFitForNext(c, need)).length;
 }
 
-/** With no sound engine at all the unsound are better than none. */
+/** If no engine is sound, the unsound ones are used. */
 function chooseUsable(
   candidates: readonly LoadCandidate[],
 ): readonly LoadCandidate[] {
@@ -124,14 +130,14 @@
   return candidate.version >= oldest;
 }
 
-/** Those that stop least first, then those that will serve best. */
+/** Engines with the fewest runs to pause first, then the fastest. */
 function compareUnfit(a: LoadCandidate, b: LoadCandidate): number {
   return a.running - b.running || a.gapMs - b.gapMs || (a.id < b.id ? -1 : 1);
 }
 
 /**
- * With few engines all of them serve the step: one at a time loads, as soon as
- * the others have room for what runs there.
+ * With few engines all of them serve the step. One at a time loads, as soon as
+ * the others have room for its runs.
  */
 function pickSpare(
   outdated: readonly LoadCandidate[],
--- a/packages/core/src/leases/__tests__/log_lease.spec.ts
+++ b/packages/core/src/leases/__tests__/log_lease.spec.ts
@@ -9,7 +9,7 @@
   orderWindowMs: 500,
 };
 
-/** A partition that appends on a condition, with calls that may be carried out late. */
+/** A partition with conditional appends; calls may be executed late. */
 function createPartition() {
   const records: LeaseRecord[] = [];
   return {
@@ -26,7 +26,7 @@
   return new LogLease(self, TIMING, claimDelayMs, 0);
 }
 
-test('the first claim stands and its offset is the token', t => {
+test('the first claim succeeds and its offset yields the token', t => {
   const lease = createLease('a');
   t.is(lease.decide(1599, 1599).kind, 'none');
   const action = lease.decide(1600, 1600);
@@ -42,17 +42,18 @@
   t.false(lease.isHeld(1600 + 1300), 'counted from before the claim was sent');
 });
 
-// No step goes on though a coordinator is there.
-// 1. A VM starts while the log is away; when it is back the VM reads the lease
-//    before the configuration, and claims.
-// 2. It drops the batches that it can not judge, and renews for seconds.
-test('a VM that does not know the deployment yet claims nothing', t => {
+// Guards against steps that make no progress although there is a coordinator.
+// 1. A VM starts while the log is unavailable. Once it is back, the VM reads
+//    the lease before the configuration, and claims.
+// 2. It drops batches that it has no rules for, and renews the lease for
+//    seconds.
+test('a VM without the configuration does not claim the lease', t => {
   const lease = createLease('a');
   t.is(lease.decide(1600, 1600, {mayClaim: false}).kind, 'none');
   t.is(lease.decide(1700, 1700, {mayClaim: true}).kind, 'append');
   lease.onAppended({kind: 'claim', holder: 'a', atMs: 0}, 0, 1710);
   const {kind} = lease.decide(2200, 2200, {mayClaim: false});
-  t.is(kind, 'append', 'a holder goes on to renew');
+  t.is(kind, 'append', 'a holder continues to renew');
 });
 
 test('a released lease is free for the next VM at once', t => {
@@ -67,11 +68,12 @@
   t.false(lease.isHandedOver, 'taken over without a release');
 });
 
-// Two VMs give orders to one engine.
-// 1. VM a claims; the call gets no answer and is carried out seconds later.
-// 2. a reads its own claim and counts a fresh lease from then.
-// Cause: a lease counted from when it was seen, not from when it was asked for.
-test('a claim that was carried out late gives no trust until it is renewed', t => {
+// Guards against two VMs that give orders to one engine.
+// 1. VM a claims; the call gets no response and is executed seconds later.
+// 2. VM a reads its own claim and counts a fresh lease from then on.
+// The lease was counted from when the claim was read, not from when it was
+// sent.
+test('a claim that was executed late is not valid until it is renewed', t => {
   const lease = createLease('a');
   lease.decide(1600, 1600);
   lease.onAppendFailed();
@@ -83,10 +85,11 @@
   t.true(lease.isHeld(6010));
 });
 
-// No step goes on for seconds after all VMs lost power.
-// 1. The holder and all others are gone; a VM is back after two seconds.
-// 2. It reads the last renewal and waits for a whole silence of the dead.
-// Cause: silence that counts from when a record was read.
+// Guards against steps that make no progress for seconds after all VMs lost power.
+// 1. The holder and all others are down; one VM is back after two seconds.
+// 2. It reads the last renewal and waits for the full silence of a stopped
+//    holder.
+// Silence was counted from when the record was read.
 test('a VM that starts long after the last record claims at once', t => {
   const start = (unixNowMs: number) => {
     const lease = new LogLease('b', TIMING, 0, 0);
@@ -104,10 +107,11 @@
 const RENEWAL = {kind: 'renewal', atMs: 0, announcesOrders: true} as const;
 const ORDER = {kind: 'order', atMs: 0, announcesOrders: true} as const;
 
-// Trainers wait for weights for seconds after their coordinator went.
-// 1. The holder dies; it had ordered one engine of six.
-// 2. Its successor waits a whole lease before it orders any.
-// Cause: nothing told which engines the holder before had ordered.
+// Guards against trainers that wait seconds for weights after a coordinator
+// stopped.
+// 1. The holder stops; it had ordered one engine of six.
+// 2. Its successor waits for a full lease before it orders any engine.
+// Nothing recorded which engines the previous holder had ordered.
 test('a successor waits only for engines that were announced', t => {
   const lease = createLease('b');
   lease.observe({...CLAIM, holder: 'a'}, 0, 0);
@@ -118,9 +122,9 @@
   t.is(lease.measureQuietMs('e2', 2010), Infinity);
 });
 
-// Two VMs give orders to one engine within a lease.
-// 1. VM a runs an earlier version of the program: it orders while it trusts its
-//    lease and tells nobody.
+// Guards against orders of two VMs to one engine within a lease.
+// 1. VM a runs an earlier version of the program: it gives orders while its
+//    lease is valid, without announcing them.
 // 2. VM b takes over.
 test('any engine may have been ordered by a holder that announces nothing', t => {
   const lease = createLease('b');
@@ -131,12 +135,12 @@
   t.is(lease.measureQuietMs('e1', 2010), 2010 - (400 + TIMING.validityMs));
 });
 
-// Two VMs give orders to one engine within a lease.
-// 1. VM a has just renewed and trusts its lease for 900 ms more.
-// 2. VM b starts with a clock that is ahead, takes the renewal for old and
-//    claims at once; its term begins while a still trusts its own.
-// Cause: a term counted from a claim that only the time of day allowed.
-test('a clock that is ahead shortens nothing that an order waits for', t => {
+// Guards against orders of two VMs to one engine within a lease.
+// 1. VM a has just renewed, and its lease is valid for 900 ms more.
+// 2. VM b starts with a clock that is ahead, takes the renewal for an old one
+//    and claims at once; its term starts while the lease of a is still valid.
+// The term was counted from a claim that only the time of day permitted.
+test('a clock that is ahead does not shorten the wait before an order', t => {
   const lease = createLease('b');
   lease.observe({kind: 'renewal', holder: 'a', atMs: 0}, 0, 100);
   lease.onCaughtUp(100, 60_000);
@@ -145,11 +149,12 @@
   t.is(lease.measureQuietMs('e1', 100 + TIMING.validityMs + 500), 500);
 });
 
-// No engine loads new weights for seconds after all VMs lost power.
-// 1. A VM that is back reads the whole log at one moment.
-// 2. It takes an order that is minutes old for one of this moment.
-// Cause: age counted from when a record was read.
-test('renewals behind an announcement tell its age', t => {
+// Guards against engines that load no new weights for seconds after all VMs
+// lost power.
+// 1. A VM that is back reads the complete log at one moment.
+// 2. It takes an announcement that is minutes old for a current one.
+// Age was counted from when the record was read.
+test('renewals after an announcement show its age', t => {
   const lease = createLease('b');
   lease.observe({...ORDER, holder: 'a', engines: ['e1']}, 0, 0);
   for (let i = 1; i <= 20; i++) {
@@ -159,9 +164,9 @@
   t.is(lease.measureQuietMs('e1', 0), agedMs - TIMING.orderWindowMs);
 });
 
-// Two VMs give orders to one engine within a lease.
+// Guards against orders of two VMs to one engine within a lease.
 // 1. VM b can not read for a moment; meanwhile a announces an order.
-// 2. The log forgets its history before b reads on.
+// 2. The log trims that record before b reads on.
 test('after a gap any engine may have been ordered', t => {
   const lease = createLease('b');
   lease.observe({...CLAIM, holder: 'a'}, 0, 0);
@@ -169,7 +174,7 @@
   t.is(lease.measureQuietMs('e1', 6000), 1000 - TIMING.orderWindowMs);
 });
 
-test('an order is covered once its announcement stands, and for a while only', t => {
+test('an order is covered once its announcement is appended, for a limited time', t => {
   const lease = createLease('a');
   lease.decide(1600, 1600);
   lease.onAppended({...CLAIM, holder: 'a'}, 0, 1610);
@@ -183,20 +188,22 @@
   t.false(lease.isAnnounced('e2', 1630));
 });
 
-test('own orders of an earlier term are nothing to wait for', t => {
+test('own orders of an earlier term need no waiting', t => {
   const lease = createLease('a');
   lease.observe({...ORDER, holder: 'a', engines: ['e1']}, 0, 0);
   t.is(lease.measureQuietMs('e1', 0), Infinity);
 });
 
-/** One thing that happens: to which VM, what, and how much time passes first. */
+/**
+ * One event: the VM it concerns, its kind, and the time that passes before it.
+ */
 const step = fc.record({
   vm: fc.nat(2),
   event: fc.constantFrom('decide', 'decide_lost', 'decide_late', 'read'),
   passMs: fc.integer({min: 0, max: 700}),
 });
 
-test('two VMs never hold the lease at one time, whatever answers are lost or late', t => {
+test('two VMs never hold the lease at one time, whichever answers are lost or late', t => {
   fc.assert(
     fc.property(fc.array(step, {maxLength: 120}), steps => {
       const partition = createPartition();
@@ -249,14 +256,14 @@
 /** Least time between the orders of two holders, ms. */
 const ORDER_GAP_MS = 3000;
 
-/** The engine that each holder wants to order at every moment. */
+/** The engine that each holder is always about to order. */
 const ENGINE = 'e1';
 const ENGINES: readonly string[] = [ENGINE];
 
-/** Time between two looks of a VM at the lease, ms. */
+/** Interval at which a VM checks the lease, ms. */
 const TICK_MS = 100;
 
-/** A time in which something is wrong with one VM, in ticks. */
+/** A fault of one VM for some ticks. */
 const fault = fc.record({
   vm: fc.nat(2),
   kind: fc.constantFrom('cut', 'answers_lost', 'reads_late'),
@@ -271,7 +278,7 @@
   readonly ticks: number;
 }
 
-/** Three VMs over one partition, with the orders that they give. */
+/** Three VMs that share one partition. */
 function createCluster(faults: readonly Fault[]) {
   const partition = createPartition();
   const leases = ['a', 'b', 'c'].map((name, i) => createLease(name, i * 50));
@@ -316,10 +323,10 @@
   };
 }
 
-// One engine hears two holders by turns.
-// 1. A holder that has lost the log still gives an order.
+// Guards against an engine that gets orders from two holders alternately.
+// 1. A holder that has lost its connection to the log still gives an order.
 // 2. Its successor gives one less than a lease later.
-test('orders of two holders are a lease apart, whoever is cut, late or hears no answer', t => {
+test('orders of two holders are a lease apart, whichever faults occur', t => {
   let changes = 0;
   fc.assert(
     fc.property(fc.array(fault, {maxLength: 12}), faults => {
--- a/packages/core/src/leases/log_lease.ts
+++ b/packages/core/src/leases/log_lease.ts
@@ -1,37 +1,48 @@
 /**
  * A lease over one partition of the log. Its records are claims and renewals,
  * each appended only if the partition still ends where the writer last saw it,
- * so of two claims at one place exactly one stands. The offset of a claim is the
- * fencing token of that term: it grows with each holder.
+ * so of two competing claims exactly one succeeds. The offset of a claim yields
+ * the fencing token of that term, which grows with each holder.
  *
- * Times are of a steady clock that may stand still while the VM is suspended;
- * the owner of this object calls `distrust` when it finds that it did.
+ * Times are from a steady clock that may stand still while the VM is suspended;
+ * the owner of this object calls `invalidate` when it detects that.
  */
 
 import {OrderHistory} from './order_history.js';
 
 /** One record of the lease's partition. */
 export interface LeaseRecord {
-  /** An `order` renews the lease as well and tells of orders about to be given. */
+  /**
+   * An `order` also renews the lease, and announces orders that are about to be
+   * given.
+   */
   readonly kind: 'claim' | 'renewal' | 'release' | 'order';
   /** Unique for each start of a process. */
   readonly holder: string;
-  /** Unix ms at which it was written, by the writer's clock. */
+  /** Unix ms of the write, by the writer's clock. */
   readonly atMs: number;
-  /** Whether its writer tells of each order before it gives it. */
+  /** Whether the writer announces each order before it gives it. */
   readonly announcesOrders?: boolean;
-  /** Engines that are about to be ordered, with an `order`. */
+  /** For an `order`: the engines that are about to be ordered. */
   readonly engines?: readonly string[];
 }
 
 export interface LeaseTiming {
-  /** Between renewals, ms. */
+  /** Interval between renewals, ms. */
   readonly renewMs: number;
-  /** The holder trusts its lease this long from before it sent a renewal, ms. */
+  /**
+   * The lease is valid this long after its holder sent a claim or renewal, ms.
+   */
   readonly validityMs: number;
-  /** Others claim after this long without a record, ms. More than `trustMs`. */
+  /**
+   * Other VMs claim after this long without a record, ms. Must exceed
+   * `validityMs`.
+   */
   readonly silenceMs: number;
-  /** An order that was announced is given within this time from before the announcement was sent, and has arrived by then or never does, ms. */
+  /**
+   * Time after sending an announcement within which its orders are given, ms;
+   * an order has arrived by then or never will.
+   */
   readonly orderWindowMs: number;
 }
 
@@ -45,16 +56,17 @@
       readonly at: number;
     };
 
-/** What a VM wants of the lease now. */
+/** What a VM requests of the lease. */
 export interface LeaseRequest {
   /**
    * Whether the VM can do a holder's work.
    *
-   * One that has just started and does not know the configuration yet could
-   * not run a single item, while its renewals keep all others away.
+   * A VM that has just started and does not have the configuration yet could
+   * not run a single item, while its renewals would keep all others from
+   * claiming.
    */
   readonly mayClaim?: boolean;
-  /** Engines that the holder wants to order. */
+  /** Engines that the holder is about to order. */
   readonly engines?: readonly string[];
 }
 
@@ -62,14 +74,17 @@
 
 export class LogLease {
   private holder: string | undefined;
-  /** Offset of the claim that began the present term. */
+  /** Offset of the claim that started the current term. */
   private claimOffset = -1;
   private nextOffset = 0;
-  /** Steady ms from which silence counts. */
+  /** Steady ms from which silence is counted. */
   private lastRecordMs: number;
   private validUntilMs = -Infinity;
   private readonly orderHistory: OrderHistory;
-  /** Steady ms before which own orders to an engine are covered by an announcement. */
+  /**
+   * Steady ms until which this VM's orders to an engine are covered by an
+   * announcement.
+   */
   private readonly announcedUntilMs = new Map<string, number>();
   private isReleased = false;
   private isFromRelease = false;
@@ -79,8 +94,8 @@
 
   /**
    * @param self Name of this process in records.
-   * @param claimDelayMs Added to the silence that this VM waits for; differs
-   *     between VMs so that they do not all claim at once.
+   * @param claimDelayMs Added to the silence after which this VM claims;
+   *     differs between VMs so that they do not all claim at once.
    */
   constructor(
     readonly self: string,
@@ -92,9 +107,9 @@
     this.orderHistory = new OrderHistory(timing.renewMs);
   }
 
-  /** Token of the present term; meaningful while `isHeld`. */
+  /** Fencing token of the current term; meaningful while `isHeld`. */
   get fencingToken(): number {
-    // Offsets begin at 0, and a token of 0 would look like none.
+    // Offsets start at 0, and a token of 0 would look like a missing one.
     return this.claimOffset + 1;
   }
 
@@ -107,39 +122,45 @@
     return this.holder === this.self && nowMs < this.validUntilMs;
   }
 
-  /** Whether the log names this process, even if it can not be sure any more. */
+  /**
+   * Whether the log names this process as holder, even if the lease may have
+   * expired.
+   */
   isNamedHolder(): boolean {
     return this.holder === this.self;
   }
 
-  /** Whether the holder before gave the lease up by itself and acts no more. */
+  /** Whether the previous holder released the lease and no longer acts. */
   get isHandedOver(): boolean {
     return this.isFromRelease;
   }
 
-  /** How long no other holder has given orders to the engine, ms; negative while one still may. */
+  /**
+   * Time since another holder may last have ordered the engine, ms; negative
+   * while one still may.
+   */
   measureQuietMs(engineId: string, nowMs: number): number {
     return this.orderHistory.measureQuietMs(engineId, nowMs);
   }
 
   /**
-   * Whether the log tells of an order to the engine that may still be given.
+   * Whether an order to the engine is covered by an announcement in the log.
    *
-   * A successor that reads no such word orders at once. The announcement was
+   * A successor that reads no announcement orders at once. The announcement was
    * appended at the end of all records, so whoever claims after it has read it,
-   * and after a claim that this holder has not read none can be appended.
+   * and it can not be appended after a claim that this holder has not read.
    */
   isAnnounced(engineId: string, nowMs: number): boolean {
     const untilMs = this.announcedUntilMs.get(engineId) ?? -Infinity;
     return this.isHeld(nowMs) && nowMs < untilMs;
   }
 
-  /** Records were lost before they were read here. */
+  /** Handles the loss of records before they were read here. */
   onGap(nowMs: number): void {
     this.orderHistory.recordUnknown(this.timing.orderWindowMs, nowMs);
   }
 
-  /** Takes the next record that was read; one that is known already says nothing. */
+  /** Applies the next record; records that were already applied are ignored. */
   observe(record: LeaseRecord, offset: number, nowMs: number): void {
     if (offset < this.nextOffset) return;
     this.nextOffset = offset + 1;
@@ -162,7 +183,7 @@
         if (this.holder !== record.holder) break;
         this.holder = undefined;
         this.isReleased = true;
-        // Nothing is left to wait for but the VM's own patience.
+        // Only the VM's own claim delay remains to be waited for.
         this.lastRecordMs = nowMs - this.timing.silenceMs;
     }
   }
@@ -171,26 +192,29 @@
     const {orderWindowMs, validityMs} = this.timing;
     const {kind, engines, announcesOrders} = record;
     if (kind === 'release') return;
-    // A holder of an earlier version of the program orders while it trusts its
-    // lease, which it does for this long from each of its records.
+    // A holder running an earlier version of the program gives orders while its
+    // lease is valid, which is this long after each of its records.
     if (!announcesOrders) this.orderHistory.recordUnknown(validityMs, nowMs);
     else if (engines)
       this.orderHistory.recordOrders(engines, orderWindowMs, nowMs);
   }
 
-  /** Reads failed until now: silence counts from here. */
+  /**
+   * Handles a successful read: while reads failed, silence could not be
+   * observed, so it is counted from now.
+   */
   onReadSucceeded(nowMs: number): void {
     this.lastRecordMs = Math.max(this.lastRecordMs, nowMs);
   }
 
   /**
-   * All records there were have been read for the first time.
+   * Handles that all existing records have been read for the first time.
    *
-   * After a fault that took down every VM the holder is long dead when the first
-   * of them is back, and work would stand still while it waits for the silence
-   * of a dead one. So silence counts from when the last record was written. A
-   * clock that is wrong at worst costs a holder its term: what it trusts and
-   * when it gives orders does not depend on the time of day.
+   * After an outage of every VM the holder has long stopped when the first VM
+   * is back, so waiting out its silence would only delay work. Silence is
+   * therefore counted from when the last record was written. At worst a wrong
+   * clock costs a holder its term: the validity of its lease and the times of
+   * its orders do not depend on the time of day.
    */
   onCaughtUp(nowMs: number, unixNowMs: number): void {
     const agedMs = unixNowMs - this.lastWrittenUnixMs;
@@ -198,12 +222,12 @@
     this.lastRecordMs = nowMs - silentMs;
   }
 
-  /** Gives up all trust in the lease until it is renewed. */
+  /** Invalidates the lease until it is renewed. */
   invalidate(): void {
     this.validUntilMs = -Infinity;
   }
 
-  /** Says what to append now, if anything. */
+  /** Returns what to append now, if anything. */
   decide(
     nowMs: number,
     unixNowMs: number,
@@ -221,13 +245,13 @@
     return this.send('claim', nowMs, unixNowMs);
   }
 
-  /** The append that `decide` asked for stands at `offset`. */
+  /** Handles that the append requested by `decide` succeeded at `offset`. */
   onAppended(record: LeaseRecord, offset: number, nowMs: number): void {
     const sentMs = this.inFlight?.sentMs ?? -Infinity;
     this.inFlight = undefined;
-    // A renewal may stand right behind the claim of another holder that was
-    // not read yet; it then renews nothing. The condition on the end rules
-    // that out: what was read so far is all there is.
+    // A renewal after another holder's claim that has not been read yet would
+    // renew nothing. The condition on the end of the partition rules that out:
+    // all existing records have been read.
     this.observe(record, offset, nowMs);
     if (this.holder === this.self) {
       this.validUntilMs = sentMs + this.timing.validityMs;
@@ -238,7 +262,10 @@
     }
   }
 
-  /** The append failed or its outcome is unknown; reading tells. */
+  /**
+   * Handles an append that failed or whose outcome is unknown; reading will
+   * show it.
+   */
   onAppendFailed(): void {
     this.inFlight = undefined;
   }
--- a/packages/core/src/leases/order_history.ts
+++ b/packages/core/src/leases/order_history.ts
@@ -1,30 +1,36 @@
 /**
- * When the holders of a lease last may have given orders to each engine, as far
- * as the log tells. An engine that does not check tokens must never hear two
- * holders by turns, so a new holder leaves alone what the one before may just
- * have ordered, and may order all other engines at once.
+ * Tracks when lease holders may last have ordered each engine, according to the
+ * log. An engine that does not check fencing tokens must never get orders from
+ * two holders alternately. A new holder therefore avoids engines that its
+ * predecessor may just have ordered, and may order all others at once.
  */
 
-/** A moment up to which orders may have been given. */
+/** The last moment at which orders may have been given. */
 interface HistoryEntry {
-  /** Steady ms at which it was read here. */
+  /** Steady ms at which the record was read. */
   readonly readMs: number;
   /** How long after that an order may still have arrived, ms. */
   readonly windowMs: number;
-  /** Renewals that were read before it. */
+  /** Number of renewals that had been read before. */
   readonly renewals: number;
 }
 
 export class OrderHistory {
   private readonly byEngine = new Map<string, HistoryEntry>();
-  /** Stands for all engines. */
+  /** Applies to all engines. */
   private allEngines: HistoryEntry | undefined;
   private renewals = 0;
 
-  /** @param renewMs Least time between a holder's renewal and its record before, ms. */
+  /**
+   * @param renewMs Minimum time between a renewal and the holder's previous
+   *     record, ms.
+   */
   constructor(private readonly renewMs: number) {}
 
-  /** A holder wrote that it is about to order `engines`, within `windowMs`. */
+  /**
+   * Records a holder's announcement that it will order `engines` within
+   * `windowMs`.
+   */
   recordOrders(
     engines: readonly string[],
     windowMs: number,
@@ -34,7 +40,10 @@
     for (const id of engines) this.byEngine.set(id, entry);
   }
 
-  /** Any engine may have been ordered until `windowMs` from now, without a word in the log. */
+  /**
+   * Records that any engine may be ordered until `windowMs` from now without an
+   * announcement.
+   */
   recordUnknown(windowMs: number, nowMs: number): void {
     this.allEngines = this.createEntry(windowMs, nowMs);
   }
@@ -43,7 +52,10 @@
     this.renewals += 1;
   }
 
-  /** How long no other holder has given orders to the engine, ms; Infinity where none ever did. */
+  /**
+   * Time since another holder may last have ordered the engine, ms; Infinity if
+   * none ever has.
+   */
   measureQuietMs(engineId: string, nowMs: number): number {
     return Math.min(
       this.measureAgeMs(this.byEngine.get(engineId), nowMs),
@@ -52,9 +64,9 @@
   }
 
   /**
-   * A VM that reads the log from its start reads a mark late, but the renewals
-   * behind it took their time: after all VMs lost power, engines that were
-   * ordered seconds before are free at once.
+   * A VM that reads the log from its start reads old records late, but the
+   * renewals after them prove their age. After a power loss of all VMs, engines
+   * that were ordered seconds before can thus be ordered at once.
    */
   private measureAgeMs(entry: HistoryEntry | undefined, nowMs: number): number {
     if (!entry) return Infinity;
--- a/packages/core/src/rewards/__tests__/reward_fixtures.ts
+++ b/packages/core/src/rewards/__tests__/reward_fixtures.ts
@@ -1,4 +1,4 @@
-/** Builders of items that ask for a score, and of endpoints that give it. */
+/** Fixtures of items with reward requests, and of endpoints that score them. */
 
 import type {Job} from '../../batches/batch_job.js';
 import {
@@ -22,7 +22,10 @@
   return createItem(id, {reward});
 }
 
-/** A scheduler whose items are running: one batch with a group for each two letters. */
+/**
+ * Creates a scheduler whose items are running: one batch, with groups named by
+ * the first two letters.
+ */
 export function createRewardSchedule(
   itemIds: readonly string[],
   groupsWanted = new Set(itemIds.map(id => id.slice(0, 2))).size,
@@ -35,7 +38,7 @@
   return {
     scheduler,
     log,
-    /** The text of an item becomes whole. */
+    /** Completes the output of an item. */
     finish(id: string): void {
       const run = runs.find(({job}) => job.item.id === id)!;
       scheduler.onEvent(run, createEvent(1, run.id), 10);
@@ -44,7 +47,7 @@
   };
 }
 
-/** Jobs that wait for their scores. */
+/** Returns jobs that wait for their scores. */
 export function createUnscored(itemIds: readonly string[]): readonly Job[] {
   const {scheduler, finish} = createRewardSchedule(itemIds);
   for (const id of itemIds) finish(id);
--- a/packages/core/src/rewards/__tests__/reward_order.spec.ts
+++ b/packages/core/src/rewards/__tests__/reward_order.spec.ts
@@ -29,10 +29,11 @@
   t.deepEqual(scheduler.listUnscored(), []);
 });
 
-// A trainer with large groups waits behind those with small ones.
+// Guards against a trainer with large groups that waits behind those with small
+// ones.
 // 1. Few endpoints are left, and reward calls queue.
-// 2. Later batches with small groups get their scores first, again and again.
-// Cause: items were taken by what their group lacks.
+// 2. Later batches with small groups always get their scores first.
+// Items were ranked by the number of scores that their group lacked.
 test('the batch that is due first is scored first, however large its groups', t => {
   const {scheduler, open} = createSchedule([createEngine('e0', {slots: 6})]);
   const large = ['g0a', 'g0b', 'g0c', 'g0d'].map(createRewardItem);
@@ -48,7 +49,7 @@
   t.deepEqual(order, ['g0a', 'g0b', 'g0c', 'g0d', 'h0a', 'h1a']);
 });
 
-test('an item whose reward call keeps failing is given up, whoever counted', t => {
+test('an item whose reward call keeps failing is given up', t => {
   const {scheduler, finish} = createRewardSchedule(['g0a']);
   finish('g0a');
   const [job] = scheduler.listUnscored();
@@ -58,11 +59,12 @@
   t.like(listResults(scheduler), [{state: 'errored'}]);
 });
 
-// A step loses a second to a text that stands in the log.
-// 1. A coordinator writes down a whole text and goes before its score came.
+// Guards against a step that loses a second generating output that is in the
+// log.
+// 1. A coordinator stores complete output and stops before its score arrives.
 // 2. Its successor opens the batch.
-// Cause: only the generation was known to the successor, not that it had ended.
-test('a text that is whole in the log waits for its score only', t => {
+// The successor knew the events but not that the output had ended.
+test('output that is complete in the log only waits for its score', t => {
   const {scheduler, log, open} = createSchedule([createEngine('e0')]);
   const batch = createBatch('b0', [], {items: [createRewardItem('g0a')]});
   open(batch);
@@ -79,10 +81,10 @@
   t.is(job.rewardFailures, 1);
 });
 
-// A trainer gets a score that was given for another call.
-// 1. A group that was not complete comes again in a later batch.
-// 2. Its items name other reward calls than before.
-test('a score is used again only for the same call', t => {
+// Guards against a score that was given for another call.
+// 1. A group that was incomplete is requested again in a later batch.
+// 2. Its items have other reward requests than before.
+test('a score is reused only for the same call', t => {
   const {scheduler, log, finish} = createRewardSchedule(['g0a', 'g0b']);
   for (const id of ['g0a', 'g0b']) finish(id);
   for (const job of scheduler.listUnscored()) scheduler.onScore(job, 'proof');
--- a/packages/core/src/rewards/__tests__/reward_scheduler.spec.ts
+++ b/packages/core/src/rewards/__tests__/reward_scheduler.spec.ts
@@ -13,13 +13,13 @@
   const scheduler = new RewardScheduler('dc');
   const decide = (jobs: readonly Job[], nowMs: number) =>
     scheduler.decide(jobs, () => ({endpoints}), nowMs, 0);
-  return {scheduler: scheduler, decide};
+  return {scheduler, decide};
 }
 
-// An app's users wait while a step is scored.
-// 1. The texts of a whole step end within a second: 30 calls for 12 slots.
-// 2. An app's request takes 29 ms of a slot, a reward call 229.
-// Cause: reward calls in all slots of all endpoints.
+// Guards against app users who wait while a step is scored.
+// 1. All output of a step ends within a second: 30 calls for 12 slots.
+// 2. An app's request occupies a slot for 29 ms, a reward call for 229 ms.
+// Reward calls took all slots of all endpoints.
 test('a burst of calls spreads and leaves slots to other requests', t => {
   const ids = Array.from({length: 30}, (_, i) => `g0-${i}`);
   const {decide} = createScheduler([createChoice('a1'), createChoice('a2')]);
@@ -44,7 +44,7 @@
   t.deepEqual(decide(jobs, 2000), []);
 });
 
-test('a call that failed is made again at another endpoint at once', t => {
+test('a failed call is repeated on another endpoint at once', t => {
   const {scheduler, decide} = createScheduler([
     createChoice('a1'),
     createChoice('a2'),
@@ -56,10 +56,10 @@
   t.not(again.endpointId, first.endpointId);
 });
 
-// Endpoints crash one after the other.
-// 1. A request crashes each endpoint that begins to run it.
-// 2. It shows as a connection that breaks, again and again.
-test('a call that breaks again and again pauses', t => {
+// Guards against a request that crashes one endpoint after another.
+// 1. A request crashes each endpoint that starts it.
+// 2. This shows as connections that break repeatedly.
+test('a call pauses after repeated breaks', t => {
   const {scheduler, decide} = createScheduler([
     createChoice('a1'),
     createChoice('a2'),
@@ -83,7 +83,7 @@
   t.deepEqual(decide([jobs[0]], 20), []);
 });
 
-test('without a rule for the call nothing goes out', t => {
+test('no call starts without a rule that allows it', t => {
   const scheduler = new RewardScheduler('dc');
   const jobs = createUnscored(['g0a']);
   t.deepEqual(
--- a/packages/core/src/rewards/reward_order.ts
+++ b/packages/core/src/rewards/reward_order.ts
@@ -1,12 +1,12 @@
-/** In which order items whose texts are whole get their scores. */
+/** Order in which items with complete output are scored. */
 
 import type {Job, OpenBatch} from '../batches/batch_job.js';
 
 /**
- * Items of the batch that is due first go first.
+ * Ranks items by the due time of their batch.
  *
- * By what a group lacks, a trainer with large groups would wait behind others
- * with small ones for as long as calls queue.
+ * Ranked by the number of scores that a group still lacks, a trainer with large
+ * groups would wait behind trainers with small ones for as long as calls queue.
  */
 export function rankUnscored(batches: Iterable<OpenBatch>): readonly Job[] {
   const open = [...batches].filter(({terms}) => terms !== undefined);
--- a/packages/core/src/rewards/reward_scheduler.ts
+++ b/packages/core/src/rewards/reward_scheduler.ts
@@ -1,10 +1,9 @@
 /**
- * Decides where and when reward calls go out. Plain endpoints serve apps beside
- * them, so some of their slots stay free of reward calls.
+ * Decides when reward calls start and on which endpoints. Plain endpoints also
+ * serve apps, so some of their slots are kept free of reward calls.
  *
- * The load this answers: when a step's items end, a burst of calls comes to
- * endpoints that hold one for several times as long as an app's request there
- * may take altogether.
+ * At the end of a step a burst of reward calls arrives, and each occupies a
+ * slot for several times the total time allowed for an app's request.
  */
 
 import type {Job} from '../batches/batch_job.js';
@@ -14,18 +13,21 @@
   type EndpointCandidate,
 } from '../routing/endpoint_choice.js';
 
-/** Where a reward call may go, by the rule that is in force. */
+/** Endpoints that a reward call may use under the current rule. */
 export interface RewardRoute {
   readonly endpoints: readonly EndpointCandidate[];
 }
 
-/** Finds where the reward call of `job` may go now; undefined where nowhere. */
+/**
+ * Finds the route of the reward call of `job`; undefined if no rule allows it
+ * now.
+ */
 export type FindRewardRoute = (
   job: Job,
   reward: RewardRequest,
 ) => RewardRoute | undefined;
 
-/** One reward call at one endpoint. */
+/** One reward call on one endpoint. */
 export interface RewardCall {
   readonly number: number;
   readonly job: Job;
@@ -41,34 +43,48 @@
   | {readonly kind: 'failed'}
   /** The endpoint did not run it, or could not be reached. */
   | {readonly kind: 'not_run'}
-  /** The connection broke, or what came was no proper answer. */
+  /** The connection broke, or the response was not valid. */
   | {readonly kind: 'broken'}
-  /** Ended on the desk's word. */
+  /** Stopped by the scheduler. */
   | {readonly kind: 'cancelled'};
 
 export type RewardAction =
   | {readonly kind: 'call'; readonly call: RewardCall}
   | {readonly kind: 'cancel'; readonly call: RewardCall};
 
-/** Slots of an endpoint that reward calls leave to other requests, which find none while most endpoints are gone otherwise. */
+/**
+ * Slots of an endpoint that reward calls leave free; otherwise other requests
+ * find none while most endpoints are down.
+ */
 const RESERVED_SLOTS = 2;
-/** Time of a call until some were seen, ms. */
+/** Assumed duration of a call before the first one ended, ms. */
 const INITIAL_CALL_MS = 250;
-/** Weight of a new sample of that time. */
+/** Weight of a new sample in the typical duration. */
 const SMOOTHING = 0.1;
-/** A second call starts beside one that takes this many times the usual: one in twenty does by nature, and those at a slow or silent endpoint, which would hold a score for 3 s. */
+/**
+ * A second call starts when the first one takes this many times the typical
+ * duration. One call in twenty takes that long anyway; the others are on a slow
+ * or silent endpoint, which would delay a score by 3 s.
+ */
 const HEDGE_FACTOR = 2.2;
-/** Calls of one item at the same time. */
+/** Concurrent calls for one item. */
 const MAX_CALLS = 2;
-/** Pause after an endpoint did not run a call, ms: a slot is free again after a few of its requests. */
+/**
+ * Pause after an endpoint did not run a call, ms; a slot becomes free after a
+ * few of its requests.
+ */
 const REFUSED_PAUSE_MS = 60;
-/** Calls that broke in a row after which the request is suspected of crashing endpoints, and its pause then, ms: it reaches no more than three others in a usual retention of 40 s. */
+/**
+ * Consecutive broken calls after which the request is suspected of crashing
+ * endpoints, and the pause that follows, ms. With the usual retention of 40 s
+ * it then reaches at most three more endpoints.
+ */
 const MAX_BREAKS = 3;
 const SUSPECT_PAUSE_MS = 15_000;
 
 interface RewardState {
   readonly calls: Set<RewardCall>;
-  /** Endpoints that had a call and brought no score. */
+  /** Endpoints on which a call ended without a score. */
   readonly tried: Set<string>;
   breaks: number;
   /** Steady ms before which no further call starts. */
@@ -84,10 +100,10 @@
   constructor(private readonly dataCentre: string) {}
 
   /**
-   * What is to be done now for `jobs`, the most urgent first. Calls for other
-   * jobs are cancelled: their batch has ended, or they have a result.
+   * Returns what to do now for `jobs`, ordered by urgency. Calls for any other
+   * job are cancelled, as its batch has ended or it has a result.
    *
-   * @param randomValue In [0, 1): spreads calls over endpoints that are equally good.
+   * @param randomValue In [0, 1): spreads calls over equally good endpoints.
    */
   decide(
     jobs: readonly Job[],
@@ -105,7 +121,7 @@
     return actions;
   }
 
-  /** A call has ended. */
+  /** Handles the end of a call. */
   onCallEnd(call: RewardCall, end: RewardEnd, nowMs: number): void {
     const {job, endpointId, startedMs} = call;
     this.updateCallCount(endpointId, -1);
@@ -168,7 +184,7 @@
       .map(endpoint => this.includeOwnCalls(endpoint));
     const pick = (tried: ReadonlySet<string>) =>
       chooseEndpoint(free, tried, this.dataCentre, randomValue, nowMs);
-    // Where all have been tried the best of them is tried again.
+    // If all endpoints have been tried, the best of them is tried again.
     const endpoint = pick(state.tried) ?? pick(new Set());
     if (!endpoint) return undefined;
     const call: RewardCall = {
@@ -183,7 +199,7 @@
     return call;
   }
 
-  /** Calls that were decided on and are not under way yet count as well. */
+  /** Includes calls that were decided on but have not been sent yet. */
   private includeOwnCalls(endpoint: EndpointCandidate): EndpointCandidate {
     const own = this.callsByEndpoint.get(endpoint.id) ?? 0;
     return {...endpoint, inFlight: Math.max(endpoint.inFlight, own)};
--- a/packages/core/src/usage/__tests__/usage.spec.ts
+++ b/packages/core/src/usage/__tests__/usage.spec.ts
@@ -22,7 +22,7 @@
   t.deepEqual(tally.take(), []);
 });
 
-test('guards against an entry that is written again and counted twice', t => {
+test('an entry that is appended twice is counted once', t => {
   const counts = [{window: 1, account: 'alpha', requests: 3}];
   const ledger = new UsageLedger();
   ledger.apply({writer: 'vm', number: 0, counts});
@@ -31,7 +31,7 @@
   t.deepEqual(ledger.sum(1), {alpha: 6});
 });
 
-test('what comes for a closed window is told as late and changes nothing', t => {
+test('counts for a closed window are returned as late and change nothing', t => {
   const ledger = new UsageLedger();
   const count = {account: 'alpha', requests: 2};
   t.is(
@@ -48,7 +48,7 @@
   t.deepEqual(ledger.sum(2), {alpha: 2});
 });
 
-test('sums do not depend on how entries of writers are mixed or repeated', t => {
+test('sums do not depend on how entries of writers are interleaved or repeated', t => {
   const entry = fc.record({
     writer: fc.constantFrom('a', 'b', 'c'),
     repeats: fc.integer({min: 1, max: 3}),
@@ -73,7 +73,7 @@
   );
 });
 
-test('guards against two reports of one window with different counts', t => {
+test('a second decision for a window does not change its counts', t => {
   const tracker = new ReportTracker();
   tracker.apply({kind: 'decided', window: 4, counts: {alpha: 1}});
   tracker.apply({kind: 'decided', window: 4, counts: {alpha: 2}});
@@ -83,7 +83,7 @@
   t.deepEqual(tracker.undelivered, []);
 });
 
-test('windows are decided without a gap, from the first one of the service on', t => {
+test('windows are decided without a gap, starting with the first one', t => {
   const tracker = new ReportTracker();
   t.is(tracker.findNext(99, 60), undefined);
   tracker.apply({kind: 'begun', window: 100});
@@ -94,7 +94,7 @@
   t.is(tracker.findNext(500, 60), 440);
 });
 
-test('what was decided and not delivered is told oldest first', t => {
+test('undelivered reports are listed oldest first', t => {
   const tracker = new ReportTracker();
   for (const window of [5, 3, 4]) {
     tracker.apply({kind: 'decided', window, counts: {}});
@@ -106,7 +106,7 @@
   );
 });
 
-test('holders that read the same records tell the same counts, however decisions race', t => {
+test('holders that read the same records report the same counts, however decisions race', t => {
   const record = fc.oneof(
     fc.record({
       kind: fc.constant('decided' as const),
@@ -135,7 +135,7 @@
   );
 });
 
-test('reports that are given up are told, and delivered ones forgotten', t => {
+test('dropping windows returns the undelivered ones only', t => {
   const tracker = new ReportTracker();
   for (const window of [3, 4, 5]) {
     tracker.apply({kind: 'decided', window, counts: {}});
@@ -149,7 +149,7 @@
   t.is(tracker.findNext(9, 60), 6);
 });
 
-test('an entry without counts is none', t => {
+test('an entry without counts changes nothing', t => {
   const ledger = new UsageLedger();
   const empty: UsageEntry = {writer: 'a', number: 0, counts: []};
   t.is(ledger.apply(empty), 0);
--- a/packages/core/src/usage/report_tracker.ts
+++ b/packages/core/src/usage/report_tracker.ts
@@ -1,24 +1,25 @@
 /**
- * Which windows were decided and which the platform has, as the log tells. The
- * first decision for a window stands, so a holder that takes over, or one that
- * got no answer, tells exactly what was told before.
+ * Tracks which windows have been decided and which the platform has received,
+ * according to the log. The first decision for a window counts, so a holder
+ * that takes over, or one that got no response, sends exactly the same counts
+ * again.
  */
 
 import type {ReportRecord, UsageReport} from './usage_record.js';
 
 export class ReportTracker {
-  /** Decided and not known to be delivered, by window. */
+  /** Decided reports that may not have been delivered, by window. */
   private readonly open = new Map<number, UsageReport>();
   private readonly delivered = new Set<number>();
-  /** The newest window that was decided, or the one before the first. */
+  /** The newest decided window; initially the one before the first. */
   private lastDecided: number | undefined;
 
-  /** Windows that the platform may not have yet, the oldest first. */
+  /** Reports that the platform may not have received, the oldest first. */
   get undelivered(): readonly UsageReport[] {
     return [...this.open.values()].sort((a, b) => a.window - b.window);
   }
 
-  /** Takes the next record of the partition. */
+  /** Applies the next record of the partition. */
   apply(record: ReportRecord): void {
     const {window} = record;
     switch (record.kind) {
@@ -37,16 +38,19 @@
   }
 
   /**
-   * The next window to decide; undefined before the first. Windows follow each
-   * other without a gap, but those further back than `maxBehind` are left out:
-   * nothing counted in them is kept any more.
+   * Returns the next window to decide; undefined before the first. Windows
+   * follow each other without gaps, but those more than `maxBehind` back are
+   * skipped, as their counts are no longer stored.
    */
   findNext(current: number, maxBehind: number): number | undefined {
     if (this.lastDecided === undefined) return undefined;
     return Math.max(this.lastDecided + 1, current - maxBehind);
   }
 
-  /** Forgets windows before `window`; returns those that the platform may not have. */
+  /**
+   * Drops windows before `window`; returns those that the platform may not have
+   * received.
+   */
   forget(window: number): readonly number[] {
     for (const known of [...this.delivered]) {
       if (known < window) this.delivered.delete(known);
--- a/packages/core/src/usage/usage_ledger.ts
+++ b/packages/core/src/usage/usage_ledger.ts
@@ -1,14 +1,17 @@
-/** Adds up what all VMs have counted, window by window. */
+/** Sums the counts of all VMs by window. */
 
 import type {AccountCounts, UsageEntry} from './usage_record.js';
 
 interface LastEntry {
   readonly number: number;
-  /** The newest window that was open when it came. */
+  /** The oldest open window when the entry was applied. */
   readonly window: number;
 }
 
-/** A writer without an entry for so many windows is forgotten: the log does not keep its entries any longer. */
+/**
+ * Number of windows without an entry after which a writer is dropped; the log
+ * does not retain its entries any longer.
+ */
 const RETAINED_WINDOWS = 100;
 
 export class UsageLedger {
@@ -19,11 +22,11 @@
   private firstOpenWindow = 0;
 
   /**
-   * Takes the next entry of its partition, and returns how many requests came
-   * too late for a window that is closed.
+   * Applies the next entry of the partition, and returns how many of its
+   * requests belong to windows that are already closed.
    *
-   * A writer that got no answer writes its entry again before its next one, so
-   * an entry whose number is not above the last stands twice.
+   * A writer that got no response appends its entry again before the next one,
+   * so an entry whose number is not above the last is a duplicate.
    */
   apply({writer, number, counts}: UsageEntry): number {
     if (number <= (this.writers.get(writer)?.number ?? -1)) return 0;
@@ -36,18 +39,18 @@
     return late;
   }
 
-  /** The oldest window in which something was counted, of those that are open. */
+  /** The oldest open window that has counts. */
   get firstWindow(): number | undefined {
     const windows = [...this.windows.keys()];
     return windows.length === 0 ? undefined : Math.min(...windows);
   }
 
-  /** All requests of a window that were written down so far. */
+  /** Requests of a window by account, as recorded so far. */
   sum(window: number): AccountCounts {
     return Object.fromEntries(this.windows.get(window) ?? []);
   }
 
-  /** Closes the windows before `window`, and forgets what was counted in them. */
+  /** Closes the windows before `window` and drops their counts. */
   close(window: number): void {
     this.firstOpenWindow = Math.max(this.firstOpenWindow, window);
     for (const known of [...this.windows.keys()]) {
--- a/packages/core/src/usage/usage_record.ts
+++ b/packages/core/src/usage/usage_record.ts
@@ -1,21 +1,24 @@
 /**
- * What the log keeps of usage: the counts that each VM writes, and the reports
- * that are decided from them. A window is a span of true time, numbered from the
- * start of 1970.
+ * Records of usage in the log: the counts that each VM writes, and the reports
+ * that are decided from them. A window is a span of real time, numbered from
+ * the start of 1970.
  */
 
-/** Requests of one account that endpoints began in one window. */
+/** Requests of one account that endpoints started in one window. */
 export interface UsageCount {
   readonly window: number;
   readonly account: string;
   readonly requests: number;
 }
 
-/** Counts of one VM since its record before. */
+/** Counts of one VM since its previous entry. */
 export interface UsageEntry {
-  /** Names the life of the process that counted. */
+  /** Incarnation of the process that counted. */
   readonly writer: string;
-  /** Rises with each entry of a writer: an entry that stands twice counts once. */
+  /**
+   * Increases with each entry of a writer, so that a duplicate entry is counted
+   * once.
+   */
   readonly number: number;
   readonly counts: readonly UsageCount[];
 }
@@ -23,21 +26,24 @@
 /** Requests by account. */
 export type AccountCounts = Readonly<Record<string, number>>;
 
-/** One window as it is told to the platform. */
+/** One window as reported to the platform. */
 export interface UsageReport {
   readonly window: number;
   readonly counts: AccountCounts;
 }
 
 export type ReportRecord =
-  /** Reports begin with this window. */
+  /** Reports start with this window. */
   | {readonly kind: 'begun'; readonly window: number}
-  /** The first for a window stands: whoever tells it tells these counts. */
+  /**
+   * The first decision for a window counts: every report of the window has
+   * these counts.
+   */
   | ({readonly kind: 'decided'} & UsageReport)
-  /** The platform has the window's report. */
+  /** The platform has received the report of the window. */
   | {readonly kind: 'delivered'; readonly window: number};
 
-/** The window of a moment. */
+/** Returns the window that contains the given time. */
 export function findWindow(unixMs: number, windowMs: number): number {
   return Math.floor(unixMs / windowMs);
 }
--- a/packages/core/src/usage/usage_tally.ts
+++ b/packages/core/src/usage/usage_tally.ts
@@ -1,8 +1,11 @@
-/** What one VM has counted and not written down yet. */
+/** Requests that one VM has counted and not yet appended to the log. */
 
 import {findWindow, type UsageCount} from './usage_record.js';
 
-/** Windows that wait at most; the log does not keep counts of older ones either. */
+/**
+ * Maximum number of pending windows; the log does not retain counts of older
+ * ones either.
+ */
 const MAX_WINDOWS = 60;
 
 export class UsageTally {
@@ -14,7 +17,7 @@
     return this.windows.size === 0;
   }
 
-  /** An endpoint began a request of the account at `unixMs`. */
+  /** Counts a request of the account that an endpoint started at `unixMs`. */
   record(account: string, unixMs: number): void {
     const window = findWindow(unixMs, this.windowMs);
     const counts = this.windows.get(window) ?? new Map<string, number>();
@@ -23,7 +26,7 @@
     counts.set(account, (counts.get(account) ?? 0) + 1);
   }
 
-  /** Hands over all counts; what is counted from here on is new. */
+  /** Returns all counts and starts over from zero. */
   take(): readonly UsageCount[] {
     const taken = [...this.windows].flatMap(([window, counts]) =>
       [...counts].map(([account, requests]) => ({window, account, requests})),
