--- a/packages/daemon/src/gateway/__tests__/gateway.spec.ts
+++ b/packages/daemon/src/gateway/__tests__/gateway.spec.ts
@@ -11,21 +11,21 @@
   createKeyed,
   MemoryStore,
   PlainProtocol,
-  QUIET_TOPIC,
+  EMPTY_TOPIC,
 } from './gateway_fixtures.js';
 
 /** A platform whose log says nothing that can be used. */
-class EmptyDirectory extends PlatformDirectory {
+class RejectingDirectory extends PlatformDirectory {
   readonly configTopic = 'config';
   readonly endpointTopic = 'endpoints';
-  readonly crashTopic = QUIET_TOPIC;
+  readonly crashTopic = EMPTY_TOPIC;
   decodeConfigRecord = () => fail(createError('bad_request'));
   decodeEndpoint: PlatformDirectory['decodeEndpoint'] = () =>
     fail(createError('bad_request'));
 }
 
 /** Callers of whom none is understood. */
-class NoCallers extends CallerProtocol {
+class RejectingCallers extends CallerProtocol {
   decodeCall = () => fail(createError('bad_request'));
   readAttempt = () => ({id: undefined, deadlineMs: undefined});
   readKey = () => undefined;
@@ -35,7 +35,7 @@
 }
 
 /** A platform on whose list every record is an endpoint. */
-class FullDirectory extends EmptyDirectory {
+class EndpointDirectory extends RejectingDirectory {
   override decodeEndpoint = (id: string) =>
     succeed({...createEntry(1), id, startedAtMs: 1});
 }
@@ -51,7 +51,7 @@
 
 function createGateway(
   t: ExecutionContext,
-  directory: PlatformDirectory = new EmptyDirectory(),
+  directory: PlatformDirectory = new RejectingDirectory(),
   store = new MemoryStore(),
 ) {
   const events: string[] = [];
@@ -59,7 +59,7 @@
   const gateway = new Gateway(
     {
       vmName: 'vm',
-      lifeId: 'life',
+      incarnationId: 'life',
       dataCentre: 'dc',
       frontAddress: '127.0.0.1:0',
       readyAddress: '127.0.0.1:0',
@@ -67,12 +67,12 @@
       orderLeaseMs: 300,
       isFencingEnforced: true,
       graceMs: 8000,
-      patienceMs: 0,
+      claimDelayMs: 0,
     },
     {
       store,
       directory,
-      callers: new NoCallers(),
+      callers: new RejectingCallers(),
       endpoints: new PlainProtocol(),
       logger,
     },
@@ -119,13 +119,13 @@
   const records = Array.from({length: 50}, (_, i) =>
     createKeyed(`e${i}`, i, '1'),
   );
-  store.newest.push({kind: 'page', records, endOffset: 50});
+  store.newestReads.push({kind: 'page', records, endOffset: 50});
   store.keyedReads.push({
     kind: 'page',
     records: [createKeyed('e50', 50, '1'), createKeyed('e0', 51)],
     endOffset: 52,
   });
-  const {gateway, events} = createGateway(t, new FullDirectory(), store);
+  const {gateway, events} = createGateway(t, new EndpointDirectory(), store);
   await gateway.start();
   for (let i = 0; i < 200 && !events.includes('endpoint left'); i++) {
     await sleep(10);
--- a/packages/daemon/src/gateway/__tests__/gateway_fixtures.ts
+++ b/packages/daemon/src/gateway/__tests__/gateway_fixtures.ts
@@ -94,7 +94,7 @@
 
 /** A watch that tells nobody; its endpoints are there unless `isThere` says otherwise. */
 export function createCrashWatch(
-  isThere: (target: ProbeTarget) => boolean = () => true,
+  isReachable: (target: ProbeTarget) => boolean = () => true,
   book = new CrashRegistry(0),
 ): CrashWatch {
   return new CrashWatch({
@@ -102,7 +102,7 @@
     news: {tell: () => undefined},
     metrics: new GatewayMetrics(),
     logger: silentLogger,
-    probe: async target => isThere(target),
+    probe: async target => isReachable(target),
   });
 }
 
@@ -113,12 +113,12 @@
 }
 
 /** How a raw server leaves a connection after its text. */
-export type Ending = 'keep' | 'end' | 'reset';
+export type ConnectionEnding = 'keep' | 'end' | 'reset';
 
 /** Starts a server that answers every request with `text`, whatever was asked. */
 export async function startRawServer(
   text: string,
-  ending: Ending,
+  ending: ConnectionEnding,
 ): Promise<RawServer> {
   const sockets = new Set<net.Socket>();
   const server = net.createServer(socket => {
@@ -165,18 +165,18 @@
   'appended' | 'refused' | 'unknown' | 'unknown_but_done';
 
 /** A keyed topic that never has records. */
-export const QUIET_TOPIC = 'quiet';
+export const EMPTY_TOPIC = 'quiet';
 
 /** A log in memory whose next appends can be told how to end. */
 export class MemoryStore extends LogStore {
   readonly partitions = 2;
   readonly maxRecordBytes = 4096;
   readonly maxAppendBytes = 16_384;
-  private readonly places = new Map<string, Uint8Array[]>();
+  private readonly recordsByPartition = new Map<string, Uint8Array[]>();
   /** Outcomes of the next appends; a plan that is used up appends. */
-  readonly plan: AppendPlan[] = [];
+  readonly appendPlans: AppendPlan[] = [];
   /** Answers of the next reads of the newest records; the last one stays. */
-  readonly newest: KeyedReadOutcome[] = [];
+  readonly newestReads: KeyedReadOutcome[] = [];
   /** Answers of the next reads of a keyed topic; then nothing comes. */
   readonly keyedReads: KeyedReadOutcome[] = [];
   appends = 0;
@@ -186,9 +186,9 @@
 
   /** Records of one partition, for tests to look at and to fill. */
   open(topic: string, partition: number): Uint8Array[] {
-    const place = `${topic}/${partition}`;
-    const records = this.places.get(place) ?? [];
-    this.places.set(place, records);
+    const key = `${topic}/${partition}`;
+    const records = this.recordsByPartition.get(key) ?? [];
+    this.recordsByPartition.set(key, records);
     return records;
   }
 
@@ -206,17 +206,17 @@
     {at}: AppendOptions = {},
   ): Promise<AppendOutcome> {
     this.appends += 1;
-    const step = this.plan.shift();
+    const plan = this.appendPlans.shift();
     const error = createError('log_unavailable');
-    if (step === 'refused') return {kind: 'refused', error};
-    if (step === 'unknown') return {kind: 'unknown', error};
-    const place = this.open(topic, partition);
-    const offset = place.length;
+    if (plan === 'refused') return {kind: 'refused', error};
+    if (plan === 'unknown') return {kind: 'unknown', error};
+    const stored = this.open(topic, partition);
+    const offset = stored.length;
     if (at !== undefined && at !== offset) {
       return {kind: 'conflict', endOffset: offset};
     }
-    place.push(...records);
-    if (step === 'unknown_but_done') return {kind: 'unknown', error};
+    stored.push(...records);
+    if (plan === 'unknown_but_done') return {kind: 'unknown', error};
     return {kind: 'appended', offset};
   }
 
@@ -239,16 +239,16 @@
     from: number,
     {maxBytes = Infinity}: ReadOptions,
   ): Promise<ReadOutcome> {
-    const place = this.open(topic, partition);
+    const stored = this.open(topic, partition);
     const records: StoredRecord[] = [];
     let bytes = 0;
-    for (const [i, record] of place.slice(from).entries()) {
+    for (const [i, record] of stored.slice(from).entries()) {
       if (i > 0 && bytes + record.length > maxBytes) break;
       bytes += record.length;
       records.push({offset: from + i, bytes: record});
     }
     this.readBytes += bytes;
-    return {kind: 'page', records, endOffset: place.length, firstOffset: 0};
+    return {kind: 'page', records, endOffset: stored.length, firstOffset: 0};
   }
 
   async readKeyed(
@@ -256,7 +256,7 @@
     _from: number,
     options: ReadOptions,
   ): Promise<KeyedReadOutcome> {
-    const next = topic === QUIET_TOPIC ? undefined : this.keyedReads.shift();
+    const next = topic === EMPTY_TOPIC ? undefined : this.keyedReads.shift();
     if (next) return next;
     return new Promise(resolve => {
       options.signal?.addEventListener('abort', () =>
@@ -266,8 +266,11 @@
   }
 
   async readNewest(topic: string): Promise<KeyedReadOutcome> {
-    if (topic === QUIET_TOPIC) return {kind: 'page', records: [], endOffset: 0};
-    const next = this.newest.length > 1 ? this.newest.shift() : this.newest[0];
+    if (topic === EMPTY_TOPIC) return {kind: 'page', records: [], endOffset: 0};
+    const next =
+      this.newestReads.length > 1
+        ? this.newestReads.shift()
+        : this.newestReads[0];
     return next ?? {kind: 'page', records: [], endOffset: 0};
   }
 
--- a/packages/daemon/src/gateway/__tests__/gateway_metrics.spec.ts
+++ b/packages/daemon/src/gateway/__tests__/gateway_metrics.spec.ts
@@ -3,11 +3,11 @@
 
 test('results are counted and timed by family and label', t => {
   const metrics = new GatewayMetrics();
-  metrics.noteResult('requests', 'r-1', '200', 12);
-  metrics.noteResult('requests', 'r-1', '200', 14);
-  metrics.noteResult('store_calls', 'append', 'refused', 3);
+  metrics.recordResult('requests', 'r-1', '200', 12);
+  metrics.recordResult('requests', 'r-1', '200', 14);
+  metrics.recordResult('store_calls', 'append', 'refused', 3);
   metrics.count('refused_not_found');
-  metrics.observe('endpoints', () => 4);
+  metrics.registerGauge('endpoints', () => 4);
   const lines = metrics.render().split('\n');
   t.true(
     lines.includes('radishyoke_requests_total{route="r-1",result="200"} 2'),
@@ -32,7 +32,7 @@
 test('the number of series is bounded, and what is left out is counted', t => {
   const metrics = new GatewayMetrics();
   for (let i = 0; i < 520; i++) {
-    metrics.noteResult('requests', `r-${i}`, '200', 1);
+    metrics.recordResult('requests', `r-${i}`, '200', 1);
   }
   const text = metrics.render();
   t.true(text.includes('radishyoke_series_dropped_total 20'));
--- a/packages/daemon/src/gateway/__tests__/log_sink.spec.ts
+++ b/packages/daemon/src/gateway/__tests__/log_sink.spec.ts
@@ -15,7 +15,7 @@
   const readLines = () => readFileSync(file, 'utf8').trim().split('\n');
   const sink = new LogSink(fd);
   const logger = createLogger('info', {vm: 'vm-0'}, sink.write);
-  sink.reportDroppedBy(dropped =>
+  sink.setDropReporter(dropped =>
     logger.log('warn', 'log lines dropped', {dropped}),
   );
   return {sink, readLines};
--- a/packages/daemon/src/gateway/batches/__tests__/batch_api.spec.ts
+++ b/packages/daemon/src/gateway/batches/__tests__/batch_api.spec.ts
@@ -7,7 +7,7 @@
 import type {Route} from '@radishyoke/core/routing/route_table';
 import {silentLogger} from '../../../logger.js';
 import {BatchApi} from '../batch_api.js';
-import {BatchShelf} from '../batch_book.js';
+import {IndexReplicas} from '../index_replica.js';
 import {INDEX_TOPIC, PAYLOAD_TOPIC} from '../batch_topics.js';
 import {
   type CallerAttempt,
@@ -72,15 +72,15 @@
 /** Serves a batch API before `store` and returns a way to call it. */
 async function startApi(t: ExecutionContext, store: MemoryStore) {
   const protocol = new PlainCallers();
-  const parts = {
+  const deps = {
     store,
-    shelf: new BatchShelf(store, silentLogger),
+    replicas: new IndexReplicas(store, silentLogger),
     protocol,
     config: new ConfigHolder(silentLogger),
     metrics: new GatewayMetrics(),
     logger: silentLogger,
   };
-  const api = new BatchApi(parts);
+  const api = new BatchApi(deps);
   const server = http.createServer((req, res) => {
     const name = protocol.readKey(req.headers);
     const caller: Caller =
@@ -148,11 +148,11 @@
 // Cause: the last outcome taken for the whole.
 test('a batch is refused only if no append can stand', async t => {
   const refused = new MemoryStore();
-  for (let i = 0; i < 1000; i++) refused.plan.push('refused');
+  for (let i = 0; i < 1000; i++) refused.appendPlans.push('refused');
   const callRefused = await startApi(t, refused);
   const unsure = new MemoryStore();
-  unsure.plan.push('appended', 'unknown');
-  for (let i = 0; i < 1000; i++) unsure.plan.push('refused');
+  unsure.appendPlans.push('appended', 'unknown');
+  for (let i = 0; i < 1000; i++) unsure.appendPlans.push('refused');
   const callUnsure = await startApi(t, unsure);
   const [first, second] = await Promise.all([
     callRefused('POST', '/r/'),
@@ -169,7 +169,7 @@
 // 2. The bytes may stand; nothing refers to them.
 test('a batch whose payload was not stored for sure is refused and never runs', async t => {
   const store = new MemoryStore();
-  for (let i = 0; i < 1000; i++) store.plan.push('unknown_but_done');
+  for (let i = 0; i < 1000; i++) store.appendPlans.push('unknown_but_done');
   const call = await startApi(t, store);
   t.is((await call('POST', '/r/')).status, 503);
   t.is(store.list(INDEX_TOPIC).length, 0);
@@ -180,7 +180,7 @@
 // 1. The answer to an append is lost; the append is made again.
 test('an append whose answer was lost accepts the batch once', async t => {
   const store = new MemoryStore();
-  store.plan.push('appended', 'unknown_but_done');
+  store.appendPlans.push('appended', 'unknown_but_done');
   const call = await startApi(t, store);
   t.is((await call('POST', '/r/')).status, 202);
   t.is(store.list(INDEX_TOPIC).length, 2);
--- a/packages/daemon/src/gateway/batches/__tests__/batch_fixtures.ts
+++ b/packages/daemon/src/gateway/batches/__tests__/batch_fixtures.ts
@@ -59,9 +59,9 @@
   const {items, ...header} = batch;
   const itemIds = items.map(({id}) => id);
   const records = results.map(({itemId, state, versions, score}, i) => {
-    const told = score === undefined ? {} : {score};
+    const scoreField = score === undefined ? {} : {score};
     const text = refs[i];
-    const listed = {itemId, state, versions, ...told, text, writer: 'vm'};
+    const listed = {itemId, state, versions, ...scoreField, text, writer: 'vm'};
     return encodeRecord({kind: 'result', batchId: batch.id, listed});
   });
   const accepted = encodeRecord({kind: 'accepted', header, itemIds, payload});
--- a/packages/daemon/src/gateway/batches/__tests__/batch_loader.spec.ts
+++ b/packages/daemon/src/gateway/batches/__tests__/batch_loader.spec.ts
@@ -4,7 +4,7 @@
 import {silentLogger} from '../../../logger.js';
 import {MemoryStore} from '../../__tests__/gateway_fixtures.js';
 import {encodeRecord} from '../batch_codec.js';
-import {BatchShelf} from '../batch_book.js';
+import {IndexReplicas} from '../index_replica.js';
 import {BatchLoader, type LoadOptions} from '../batch_loader.js';
 import {INDEX_TOPIC, PROGRESS_TOPIC} from '../batch_topics.js';
 import {
@@ -14,26 +14,26 @@
   writeBatch,
 } from './batch_fixtures.js';
 
-const FRESH: LoadOptions = {isBegun: false, textsOf: new Set()};
-const BEGUN: LoadOptions = {isBegun: true, textsOf: new Set()};
+const FRESH: LoadOptions = {mayHaveProgress: false, textsOf: new Set()};
+const STARTED: LoadOptions = {mayHaveProgress: true, textsOf: new Set()};
 
 /** One batch of three items, the first with a result. */
 async function createLoad() {
   const store = new MemoryStore();
-  const shelf = new BatchShelf(store, silentLogger);
-  const book = shelf.locate('b0');
+  const replicas = new IndexReplicas(store, silentLogger);
+  const replica = replicas.locate('b0');
   const items = ['a', 'b', 'c'].map(id => createItem(id, 10));
   const results = [createResult('a', 'text of a')];
-  await writeBatch(store, book.partition, createBatch('b0', items), results);
-  await book.sync();
+  await writeBatch(store, replica.partition, createBatch('b0', items), results);
+  await replica.sync();
   return {
     store,
-    book,
-    entry: book.index.get('b0')!,
-    loader: new BatchLoader(store, shelf, silentLogger),
+    book: replica,
+    entry: replica.index.get('b0')!,
+    loader: new BatchLoader(store, replicas, silentLogger),
     abort: new AbortController(),
     writeProgress(record: ProgressRecord): void {
-      const records = store.open(PROGRESS_TOPIC, book.partition);
+      const records = store.open(PROGRESS_TOPIC, replica.partition);
       records.push(encodeRecord(record));
     },
   };
@@ -55,7 +55,7 @@
   writeProgress({...item, events: createEvents(1, 2)});
   writeProgress({batchId: 'b9', itemId: 'c', events: createEvents(1, 5)});
   writeProgress({...item, afterRun: 'r', events: createEvents(3, 1)});
-  const state = await loader.load(entry, BEGUN, abort.signal);
+  const state = await loader.load(entry, STARTED, abort.signal);
   const [a, b, c] = [...state!.items.values()];
   t.true(a.isListed);
   t.is(b.transcript.joinOutput(), '1\n2\n3');
@@ -72,10 +72,10 @@
 
 test('texts of results are read for the items that are wanted', async t => {
   const {loader, entry, abort} = await createLoad();
-  const options = {isBegun: true, textsOf: new Set(['a', 'z'])};
+  const options = {mayHaveProgress: true, textsOf: new Set(['a', 'z'])};
   const state = await loader.load(entry, options, abort.signal);
   t.is(state!.items.get('a')!.result!.output, 'text of a');
-  const without = await loader.load(entry, BEGUN, abort.signal);
+  const without = await loader.load(entry, STARTED, abort.signal);
   t.is(without!.items.get('a')!.result, undefined);
 });
 
@@ -109,7 +109,7 @@
   const {loader, entry, abort, store, book, writeProgress} = await createLoad();
   store.open(PROGRESS_TOPIC, book.partition).push(new Uint8Array([0xc1]));
   writeProgress({batchId: 'b0', itemId: 'b', events: createEvents(1, 1)});
-  const state = await loader.load(entry, BEGUN, abort.signal);
+  const state = await loader.load(entry, STARTED, abort.signal);
   t.is(state!.items.get('b')!.transcript.joinOutput(), '1');
   t.is(store.list(INDEX_TOPIC).length, 2);
 });
--- a/packages/daemon/src/gateway/batches/__tests__/succession_watch.spec.ts
+++ b/packages/daemon/src/gateway/batches/__tests__/failover_watch.spec.ts
@@ -1,21 +1,21 @@
 import test from 'ava';
 import {createEntry} from '../../__tests__/gateway_fixtures.js';
-import {SuccessionWatch} from '../succession_watch.js';
+import {FailoverWatch} from '../failover_watch.js';
 
 /** A watch whose log was last reached at 0, before one engine with `own` runs of it and `reported` in all. */
 function createWatch(own: number, reported: number) {
   const state = {nowMs: 0, reported};
   const found: number[] = [];
   let asked = 0;
-  const watch = new SuccessionWatch({
+  const watch = new FailoverWatch({
     fetchReport: () => {
       asked += 1;
       const report = {models: [], isBusy: false, orders: 0, bornMs: 0};
       return Promise.resolve({...report, runs: state.reported});
     },
-    countOwn: () => own,
+    countOwnRuns: () => own,
     now: () => state.nowMs,
-    findContactMs: () => 0,
+    getContactMs: () => 0,
     listEngines: () => [createEntry(1)],
     onSuperseded: runs => found.push(runs),
   });
--- a/packages/daemon/src/gateway/batches/__tests__/generation.spec.ts
+++ b/packages/daemon/src/gateway/batches/__tests__/generation.spec.ts
@@ -4,7 +4,7 @@
 import type {RunEnd} from '@radishyoke/core/batches/schedule_action';
 import {Generation} from '../generation.js';
 import {
-  type Ending,
+  type ConnectionEnding,
   PlainProtocol,
   startRawServer,
 } from '../../__tests__/gateway_fixtures.js';
@@ -26,7 +26,7 @@
 interface GenerationCase {
   readonly name: string;
   readonly text: string;
-  readonly ending: Ending;
+  readonly ending: ConnectionEnding;
   readonly events: readonly string[];
   readonly end: RunEnd;
 }
--- a/packages/daemon/src/gateway/batches/__tests__/batch_book.spec.ts
+++ b/packages/daemon/src/gateway/batches/__tests__/index_replica.spec.ts
@@ -1,7 +1,7 @@
 import test from 'ava';
 import {silentLogger} from '../../../logger.js';
 import {MemoryStore} from '../../__tests__/gateway_fixtures.js';
-import {BatchShelf} from '../batch_book.js';
+import {IndexReplicas} from '../index_replica.js';
 import {PAYLOAD_TOPIC} from '../batch_topics.js';
 import {
   createBatch,
@@ -13,7 +13,7 @@
 const TEXT_CHARS = 1000;
 
 /** A log with a batch of six results, and a VM that knows nothing yet. */
-async function createColdBook() {
+async function createColdReplica() {
   const store = new MemoryStore();
   const ids = ['a', 'b', 'c', 'd', 'e', 'f'];
   const batch = createBatch(
@@ -21,21 +21,21 @@
     ids.map(id => createItem(id, 100)),
   );
   const results = ids.map(id => createResult(id, id.repeat(TEXT_CHARS)));
-  const book = new BatchShelf(store, silentLogger).locate('b0');
+  const book = new IndexReplicas(store, silentLogger).locate('b0');
   await writeBatch(store, book.partition, batch, results);
   await book.sync();
   return {book, store, batch, results, entry: book.index.get('b0')!};
 }
 
 test('results come from the log, unchanged and in their order', async t => {
-  const {book, entry, results} = await createColdBook();
+  const {book, entry, results} = await createColdReplica();
   const page = await book.readResults(entry, 0, Infinity);
   t.true(page.ok);
   if (page.ok) t.deepEqual(page.value, results);
 });
 
 test('a page has one result at least and no more than it may hold', async t => {
-  const {book, entry, results} = await createColdBook();
+  const {book, entry, results} = await createColdReplica();
   for (const [maxBytes, count] of [
     [10, 1],
     [2 * TEXT_CHARS, 2],
@@ -50,7 +50,7 @@
 // 1. A result stands in the index and its text can not be read.
 // 2. An empty page would be taken for the end.
 test('a text that can not be read is an error, not an empty page', async t => {
-  const {book, entry, store} = await createColdBook();
+  const {book, entry, store} = await createColdReplica();
   store.read = async () => ({kind: 'expired', firstOffset: 5});
   const page = await book.readResults(entry, 0, Infinity);
   t.false(page.ok);
@@ -58,7 +58,7 @@
 });
 
 test('a submission is read as it was made', async t => {
-  const {book, entry, batch} = await createColdBook();
+  const {book, entry, batch} = await createColdReplica();
   const read = await book.readSubmission(entry);
   t.true(read.ok);
   if (!read.ok) return;
@@ -72,7 +72,7 @@
 // 1. The payload of a submission can not be decoded.
 // 2. Whoever opens the batch meets the same bytes.
 test('a submission that can not be decoded is an error', async t => {
-  const {book, entry, store} = await createColdBook();
+  const {book, entry, store} = await createColdReplica();
   store.open(PAYLOAD_TOPIC, book.partition)[entry.payload[0].offset].fill(0xc1);
   const read = await book.readSubmission(entry);
   t.false(read.ok);
@@ -96,7 +96,7 @@
     await writeBatch(store, 0, batch, results);
   }
   const stored = store.list(PAYLOAD_TOPIC).reduce((n, r) => n + r.length, 0);
-  const book = new BatchShelf(store, silentLogger).open(0);
+  const book = new IndexReplicas(store, silentLogger).open(0);
   await book.sync();
   const [answer] = [await book.readResults(book.index.get('b7')!, 2, Infinity)];
   t.true(answer.ok);
--- a/packages/daemon/src/gateway/batches/__tests__/record_writer.spec.ts
+++ b/packages/daemon/src/gateway/batches/__tests__/record_writer.spec.ts
@@ -16,7 +16,7 @@
 // 2. The writer goes on with the next records.
 test('records are appended again until the log says that they stand', async t => {
   const store = new MemoryStore();
-  store.plan.push('refused', 'unknown_but_done');
+  store.appendPlans.push('refused', 'unknown_but_done');
   const writer = new IndexWriter(store, 0);
   writer.write({kind: 'ended', batchId: 'b0'});
   await waitFor(() => store.appends >= 3);
@@ -37,7 +37,7 @@
 // A VM runs out of memory while the log is away for long.
 test('a writer takes no more than it may hold', async t => {
   const store = new MemoryStore();
-  for (let i = 0; i < 1000; i++) store.plan.push('refused');
+  for (let i = 0; i < 1000; i++) store.appendPlans.push('refused');
   const writer = new ProgressWriter(store, 0);
   const data = 'x'.repeat(1024 * 1024);
   const events = [{id: 1, data, version: 1, run: 'r'}];
@@ -75,7 +75,7 @@
 // Cause: progress that does not follow what is known is dropped.
 test('progress stands in the order in which it was made', async t => {
   const store = new MemoryStore();
-  store.plan.push('refused', 'refused');
+  store.appendPlans.push('refused', 'refused');
   const writer = new ProgressWriter(store, 0);
   for (const itemId of ['a', 'b', 'c']) {
     writer.write({batchId: 'b', itemId, events: []});
@@ -132,7 +132,7 @@
 // 2. The result goes into the index all the same.
 test('a result is listed only once its text stands', async t => {
   const store = new MemoryStore();
-  store.plan.push('refused', 'unknown');
+  store.appendPlans.push('refused', 'unknown');
   await listText(store, 'text');
   const [record] = store.open(INDEX_TOPIC, 0).map(decodeIndexRecord);
   const texts = store.open(PAYLOAD_TOPIC, 0);
@@ -144,7 +144,7 @@
 
 test('a text that stands is not stored again when the index did not answer', async t => {
   const store = new MemoryStore();
-  store.plan.push('appended', 'refused', 'refused');
+  store.appendPlans.push('appended', 'refused', 'refused');
   await listText(store, 'text');
   t.is(store.open(PAYLOAD_TOPIC, 0).length, 1);
 });
--- a/packages/daemon/src/gateway/batches/batch_api.ts
+++ b/packages/daemon/src/gateway/batches/batch_api.ts
@@ -17,7 +17,7 @@
 import {setTimeout as sleep} from 'node:timers/promises';
 import type {EventLogger} from '../../logger.js';
 import {encodeBatch, encodeRecord} from './batch_codec.js';
-import type {BatchBook, BatchShelf} from './batch_book.js';
+import type {IndexReplica, IndexReplicas} from './index_replica.js';
 import {INDEX_TOPIC} from './batch_topics.js';
 import {PayloadLog, type StoreOutcome} from './payload_log.js';
 import {answerError} from '../requests/caller_answer.js';
@@ -26,9 +26,9 @@
 import type {GatewayMetrics} from '../gateway_metrics.js';
 import type {AppendOutcome, LogStore} from '../store/log_store.js';
 
-export interface BatchApiParts {
+export interface BatchApiDeps {
   readonly store: LogStore;
-  readonly shelf: BatchShelf;
+  readonly replicas: IndexReplicas;
   readonly protocol: CallerProtocol;
   readonly config: ConfigHolder;
   readonly metrics: GatewayMetrics;
@@ -59,8 +59,8 @@
   private submissions = 0;
   private readonly payloads: PayloadLog;
 
-  constructor(private readonly parts: BatchApiParts) {
-    this.payloads = new PayloadLog(parts.store);
+  constructor(private readonly deps: BatchApiDeps) {
+    this.payloads = new PayloadLog(deps.store);
   }
 
   /** Takes a batch that was posted under a route. */
@@ -69,7 +69,7 @@
     req: http.IncomingMessage,
     res: http.ServerResponse,
   ): Promise<void> {
-    const {protocol} = this.parts;
+    const {protocol} = this.deps;
     const {route} = post;
     const attemptId = protocol.readAttempt(req.headers).id;
     if (attemptId === undefined) {
@@ -97,11 +97,11 @@
     caller: Caller,
     res: http.ServerResponse,
   ): Promise<void> {
-    const book = this.parts.shelf.locate(call.batchId);
-    const synced = await book.sync();
+    const replica = this.deps.replicas.locate(call.batchId);
+    const synced = await replica.sync();
     if (synced.kind === 'failed')
       return this.refuseRead(res, call, synced.error);
-    const entry = book.index.get(call.batchId);
+    const entry = replica.index.get(call.batchId);
     if (!entry || !isOwner(caller, entry.header.account)) {
       const isKeyless = entry && caller.kind === 'anonymous';
       const error = isKeyless
@@ -111,11 +111,11 @@
     }
     switch (call.kind) {
       case 'read_results':
-        return this.sendResults(call.after, call.waitMs, entry, book, res);
+        return this.sendResults(call.after, call.waitMs, entry, replica, res);
       case 'read_body':
-        return this.sendBody(call.itemId, entry, book, res);
+        return this.sendBody(call.itemId, entry, replica, res);
       case 'end_batch':
-        return this.end(entry, book, res);
+        return this.end(entry, replica, res);
     }
   }
 
@@ -123,7 +123,7 @@
     {route, caller, host, path, body}: BatchPost,
     attemptId: string,
   ): Promise<RadishyokeError | undefined> {
-    const {protocol, shelf, logger} = this.parts;
+    const {protocol, replicas, logger} = this.deps;
     const account = caller.kind === 'account' ? caller.name : undefined;
     const batch = protocol.decodeBatch(body, {
       attemptId,
@@ -133,24 +133,24 @@
       atMs: Date.now(),
     });
     if (!batch.ok) return batch.error;
-    const book = shelf.locate(attemptId);
-    const known = book.index.get(attemptId);
-    if (known && !isOwner(caller, known.header.account)) {
+    const replica = replicas.locate(attemptId);
+    const existing = replica.index.get(attemptId);
+    if (existing && !isOwner(caller, existing.header.account)) {
       return createError('duplicate_request', 'the id is taken');
     }
-    if (known) return undefined;
-    const accepted = await this.accept(book, batch.value);
+    if (existing) return undefined;
+    const accepted = await this.accept(replica, batch.value);
     if (!accepted.ok) return accepted.error;
     logger.log('info', 'batch accepted', {
       requestId: attemptId,
       rule: route.name,
-      configVersion: this.parts.config.version,
+      configVersion: this.deps.config.version,
       account,
       step: batch.value.step,
       model: batch.value.model,
       minVersion: batch.value.minVersion,
       items: batch.value.items.length,
-      partition: book.partition,
+      partition: replica.partition,
       offset: accepted.value,
     });
     return undefined;
@@ -162,21 +162,24 @@
    * the batch it is certain that it will not run, whatever became of the payload.
    * Says at which offset of the index it stands.
    */
-  private async accept(book: BatchBook, batch: Batch): Promise<Result<number>> {
+  private async accept(
+    replica: IndexReplica,
+    batch: Batch,
+  ): Promise<Result<number>> {
     const untilMs = performance.now() + APPEND_BUDGET_MS;
     const {items, ...header} = batch;
     const itemIds = items.map(({id}) => id);
-    const stored = await this.storePayload(book, batch, untilMs);
+    const stored = await this.storePayload(replica, batch, untilMs);
     if (stored.kind === 'failed') {
       return fail(createRefusal(stored.error.detail));
     }
     const [payload] = stored.refs;
     const record = encodeRecord({kind: 'accepted', header, itemIds, payload});
-    if (record.length > this.parts.store.maxRecordBytes) {
+    if (record.length > this.deps.store.maxRecordBytes) {
       const detail = `a batch of ${items.length} items`;
       return fail(createError('too_large', detail));
     }
-    const outcome = await this.appendIndex(book, record, untilMs);
+    const outcome = await this.appendIndex(replica, record, untilMs);
     switch (outcome.kind) {
       case 'appended':
         return succeed(outcome.offset);
@@ -190,13 +193,13 @@
   }
 
   private async storePayload(
-    book: BatchBook,
+    replica: IndexReplica,
     batch: Batch,
     untilMs: number,
   ): Promise<StoreOutcome> {
     const bytes = encodeBatch(batch);
     for (;;) {
-      const stored = await this.payloads.append(book.partition, [bytes]);
+      const stored = await this.payloads.append(replica.partition, [bytes]);
       if (stored.kind === 'stored') return stored;
       if (performance.now() + APPEND_RETRY_MS > untilMs) return stored;
       await sleep(APPEND_RETRY_MS);
@@ -205,14 +208,16 @@
 
   /** A call without an answer is made again: a record that stands twice counts once. */
   private async appendIndex(
-    book: BatchBook,
+    replica: IndexReplica,
     record: Uint8Array,
     untilMs = performance.now() + APPEND_BUDGET_MS,
   ): Promise<AppendOutcome> {
-    const {store} = this.parts;
+    const {store} = this.deps;
     let isUncertain = false;
     for (;;) {
-      const outcome = await store.append(INDEX_TOPIC, book.partition, [record]);
+      const outcome = await store.append(INDEX_TOPIC, replica.partition, [
+        record,
+      ]);
       if (outcome.kind === 'appended') return outcome;
       isUncertain ||= outcome.kind === 'unknown';
       if (performance.now() + APPEND_RETRY_MS > untilMs) {
@@ -229,7 +234,7 @@
     after: number,
     waitMs: number,
     entry: IndexedBatch,
-    book: BatchBook,
+    replica: IndexReplica,
     res: http.ServerResponse,
   ): Promise<void> {
     const untilMs = performance.now() + waitMs;
@@ -238,29 +243,29 @@
     while (entry.results.length <= after && !isComplete(entry)) {
       const leftMs = Math.floor(untilMs - performance.now());
       if (leftMs <= 0 || res.destroyed) break;
-      const outcome = await book.waitForNews(leftMs, abort.signal);
+      const outcome = await replica.waitForRecords(leftMs, abort.signal);
       if (outcome.kind === 'failed') break;
     }
-    const results = await book.readResults(entry, after, MAX_PAGE_BYTES);
+    const results = await replica.readResults(entry, after, MAX_PAGE_BYTES);
     if (!results.ok) return this.sendError(res, results.error);
     const next = after + results.value.length;
     const total = entry.items.size;
     const page = {total, results: results.value, next};
-    const body = this.parts.protocol.encodePage(page);
+    const body = this.deps.protocol.encodePage(page);
     this.send(res, 200, 'application/json', body);
   }
 
   private async sendBody(
     itemId: string,
     entry: IndexedBatch,
-    book: BatchBook,
+    replica: IndexReplica,
     res: http.ServerResponse,
   ): Promise<void> {
     if (!entry.items.has(itemId)) {
       const error = createError('not_found', 'there is no such item');
       return this.sendError(res, error);
     }
-    const batch = await book.readSubmission(entry);
+    const batch = await replica.readSubmission(entry);
     if (!batch.ok) return this.sendError(res, batch.error);
     const item = batch.value.items.find(({id}) => id === itemId)!;
     this.send(res, 200, 'application/octet-stream', item.body);
@@ -268,13 +273,13 @@
 
   private async end(
     entry: IndexedBatch,
-    book: BatchBook,
+    replica: IndexReplica,
     res: http.ServerResponse,
   ): Promise<void> {
     const {id: batchId} = entry.header;
     const record: IndexRecord = {kind: 'ended', batchId};
     if (!entry.isEnded) {
-      const outcome = await this.appendIndex(book, encodeRecord(record));
+      const outcome = await this.appendIndex(replica, encodeRecord(record));
       if (outcome.kind !== 'appended') {
         // Ending is idempotent, so it may be said that it can be tried again,
         // but not that it did not happen.
@@ -287,15 +292,15 @@
 
   private finish(
     res: http.ServerResponse,
-    what: 'submit' | 'end',
+    action: 'submit' | 'end',
     requestId: string | undefined,
     route: Route | undefined,
     error: RadishyokeError | undefined,
   ): void {
-    const {metrics, logger} = this.parts;
-    metrics.count(`batch_${what}_${error?.kind ?? 'ok'}`);
+    const {metrics, logger} = this.deps;
+    metrics.count(`batch_${action}_${error?.kind ?? 'ok'}`);
     if (error) {
-      logger.log('warn', `batch ${what} failed`, {
+      logger.log('warn', `batch ${action} failed`, {
         requestId,
         rule: route?.name,
         outcome: error.kind,
@@ -304,8 +309,13 @@
       this.sendError(res, error);
       return;
     }
-    if (what === 'end') logger.log('info', 'batch end', {requestId});
-    this.send(res, what === 'submit' ? 202 : 200, undefined, new Uint8Array());
+    if (action === 'end') logger.log('info', 'batch end', {requestId});
+    this.send(
+      res,
+      action === 'submit' ? 202 : 200,
+      undefined,
+      new Uint8Array(),
+    );
   }
 
   private refuseRead(
@@ -313,7 +323,7 @@
     call: Exclude<CallerCall, {kind: 'request'}>,
     error: RadishyokeError,
   ): void {
-    this.parts.logger.log('warn', 'batch call refused', {
+    this.deps.logger.log('warn', 'batch call refused', {
       requestId: call.batchId,
       call: call.kind,
       outcome: error.kind,
@@ -323,7 +333,7 @@
   }
 
   private sendError(res: http.ServerResponse, error: RadishyokeError): void {
-    answerError(res, this.parts.protocol, error);
+    answerError(res, this.deps.protocol, error);
   }
 
   private send(
--- a/packages/daemon/src/gateway/batches/batch_loader.ts
+++ b/packages/daemon/src/gateway/batches/batch_loader.ts
@@ -19,7 +19,7 @@
 import {fail, type Result, succeed} from '@radishyoke/shared/result';
 import type {EventLogger} from '../../logger.js';
 import type {LogStore} from '../store/log_store.js';
-import type {BatchBook, BatchShelf} from './batch_book.js';
+import type {IndexReplica, IndexReplicas} from './index_replica.js';
 import {decodeProgressRecord} from './batch_codec.js';
 import {PROGRESS_TOPIC} from './batch_topics.js';
 
@@ -34,7 +34,7 @@
 /** What is to be read of a batch. */
 export interface LoadOptions {
   /** Whether another coordinator may have run items of it. */
-  readonly isBegun: boolean;
+  readonly mayHaveProgress: boolean;
   /** Items whose listed texts are wanted. */
   readonly textsOf: ReadonlySet<string>;
 }
@@ -45,7 +45,7 @@
 
   constructor(
     private readonly store: LogStore,
-    private readonly shelf: BatchShelf,
+    private readonly replicas: IndexReplicas,
     private readonly logger: EventLogger,
   ) {}
 
@@ -57,7 +57,7 @@
   ): Promise<BatchState | undefined> {
     const wasComplete = isComplete(entry);
     let retryMs = FIRST_RETRY_MS;
-    await this.takeTurn();
+    await this.acquireSlot();
     try {
       while (!signal.aborted && isComplete(entry) === wasComplete) {
         const state = await this.loadOnce(entry, options);
@@ -75,16 +75,16 @@
 
   private async loadOnce(
     entry: IndexedBatch,
-    {isBegun, textsOf}: LoadOptions,
+    {mayHaveProgress, textsOf}: LoadOptions,
   ): Promise<Result<BatchState>> {
-    const book = this.shelf.locate(entry.header.id);
-    const batch = await book.readSubmission(entry);
+    const replica = this.replicas.locate(entry.header.id);
+    const batch = await replica.readSubmission(entry);
     if (!batch.ok) return batch;
-    const transcripts: Result<Transcripts> = isBegun
-      ? await this.readProgress(entry, book.partition)
+    const transcripts: Result<Transcripts> = mayHaveProgress
+      ? await this.readProgress(entry, replica.partition)
       : succeed(new Map());
     if (!transcripts.ok) return transcripts;
-    const results = await readResults(entry, book, textsOf);
+    const results = await readResults(entry, replica, textsOf);
     if (!results.ok) return results;
     return succeed(
       assembleState(batch.value, entry, {
@@ -99,21 +99,26 @@
     partition: number,
   ): Promise<Result<Transcripts>> {
     const fold = new ProgressFold(header.id);
-    let next = 0;
+    let nextOffset = 0;
     for (;;) {
-      const outcome = await this.store.read(PROGRESS_TOPIC, partition, next, {
-        waitMs: 0,
-      });
+      const outcome = await this.store.read(
+        PROGRESS_TOPIC,
+        partition,
+        nextOffset,
+        {
+          waitMs: 0,
+        },
+      );
       if (outcome.kind === 'failed') return fail(outcome.error);
       if (outcome.kind === 'expired') {
-        next = Math.max(next + 1, outcome.firstOffset);
+        nextOffset = Math.max(nextOffset + 1, outcome.firstOffset);
         continue;
       }
       for (const {offset, bytes} of outcome.records) {
-        next = offset + 1;
+        nextOffset = offset + 1;
         this.applyProgress(fold, bytes, {partition, offset});
       }
-      const isAtEnd = next >= outcome.endOffset;
+      const isAtEnd = nextOffset >= outcome.endOffset;
       if (isAtEnd || outcome.records.length === 0) {
         return succeed(fold.transcripts);
       }
@@ -123,20 +128,20 @@
   private applyProgress(
     fold: ProgressFold,
     bytes: Uint8Array,
-    place: {readonly partition: number; readonly offset: number},
+    position: {readonly partition: number; readonly offset: number},
   ): void {
     try {
       fold.apply(decodeProgressRecord(bytes));
     } catch (err) {
       const detail = String(err);
       this.logger.log('error', 'record can not be read and is skipped', {
-        ...place,
+        ...position,
         detail,
       });
     }
   }
 
-  private async takeTurn(): Promise<void> {
+  private async acquireSlot(): Promise<void> {
     if (this.running >= MAX_LOADS) {
       await new Promise<void>(resolve => this.waiting.push(resolve));
     }
@@ -153,11 +158,11 @@
 
 async function readResults(
   {results}: IndexedBatch,
-  book: BatchBook,
+  replica: IndexReplica,
   textsOf: ReadonlySet<string>,
 ): Promise<Result<ReadonlyMap<string, ItemResult>>> {
-  const wanted = results.filter(({itemId}) => textsOf.has(itemId));
-  const read = await book.readTexts(wanted);
+  const requested = results.filter(({itemId}) => textsOf.has(itemId));
+  const read = await replica.readTexts(requested);
   if (!read.ok) return read;
   return succeed(new Map(read.value.map(result => [result.itemId, result])));
 }
--- a/packages/daemon/src/gateway/batches/batch_runner.ts
+++ b/packages/daemon/src/gateway/batches/batch_runner.ts
@@ -34,9 +34,9 @@
 import type {RouteTable} from '@radishyoke/core/routing/route_table';
 import {pickService} from '@radishyoke/core/routing/route_table';
 import type {EventLogger} from '../../logger.js';
-import type {BatchShelf} from './batch_book.js';
+import type {IndexReplicas} from './index_replica.js';
 import {BatchLoader} from './batch_loader.js';
-import {KEEP_BATCH_MS} from './batch_topics.js';
+import {BATCH_RETENTION_MS} from './batch_topics.js';
 import type {ConfigHolder} from '../store/config_holder.js';
 import type {EndpointLinks} from '../endpoints/endpoint_links.js';
 import {fingerprintItem} from '../requests/request_fingerprints.js';
@@ -53,18 +53,18 @@
 import {RewardTask} from './reward_task.js';
 import type {VmClock} from '../vm_clock.js';
 import {EngineReports} from '../engines/engine_reports.js';
-import {SuccessionWatch} from './succession_watch.js';
+import {FailoverWatch} from './failover_watch.js';
 import {WeightTask} from '../engines/weight_task.js';
 
-export interface RunnerParts {
+export interface RunnerDeps {
   readonly store: LogStore;
-  readonly shelf: BatchShelf;
+  readonly replicas: IndexReplicas;
   readonly lease: LeaseTask;
   readonly roster: EndpointRoster;
   readonly links: EndpointLinks;
   readonly protocol: EndpointProtocol;
   readonly config: ConfigHolder;
-  readonly named: ReadonlyMap<string, number>;
+  readonly newestVersions: ReadonlyMap<string, number>;
   readonly clock: VmClock;
   readonly metrics: GatewayMetrics;
   readonly vmName: string;
@@ -79,7 +79,7 @@
 /** How often the scheduler decides beside each event that it waits for, ms. */
 const TICK_MS = 60;
 /** What happens within this time is decided on together, ms: a place stays empty no longer than a run takes for a tenth of one event. */
-const DECIDE_MS = 8;
+const DECIDE_DELAY_MS = 8;
 /** How often running output is written down, ms: a successor repeats at most this much. */
 const PROGRESS_MS = 500;
 /**
@@ -87,19 +87,22 @@
  * this VM does not hear that a batch ended, and must not start its items later
  * than callers may expect.
  */
-const BLIND_MS = 2200;
+const MAX_LOG_SILENCE_MS = 2200;
 /** Output tokens of one event until the configuration says. */
 const DEFAULT_TOKENS_PER_EVENT = 1;
 
 const NO_ITEMS: ReadonlySet<string> = new Set();
 
 /** What the log tells of a run. */
-type RunEvent = Exclude<Extract<LogEventName, `run ${string}`>, 'run broken'>;
+type RunLogEvent = Exclude<
+  Extract<LogEventName, `run ${string}`>,
+  'run broken'
+>;
 
 interface LiveRun {
   readonly run: Run;
   /** Absent while it is found out whether the engine is there. */
-  readonly work?: {
+  readonly execution?: {
     readonly generation: Generation;
     readonly watched: WatchedRequest;
   };
@@ -109,51 +112,59 @@
   private readonly scheduler: BatchScheduler;
   private readonly fleet: EngineFleet;
   private readonly weights: WeightTask;
-  private readonly succession: SuccessionWatch;
+  private readonly failover: FailoverWatch;
   private readonly rewards: RewardTask;
   /** Steady ms at which another VM was found to run the items; nothing starts here until the log tells more. */
-  private yieldedMs = -Infinity;
-  private readonly live = new Map<string, LiveRun>();
+  private supersededMs = -Infinity;
+  private readonly liveRuns = new Map<string, LiveRun>();
   private readonly fingerprints = new WeakMap<Job, string>();
   private readonly itemLog: ItemLog;
   private readonly loader: BatchLoader;
   /** Batches that are read from the log. */
   private readonly loading = new Set<string>();
   private readonly abort = new AbortController();
-  private readonly listener = (change: IndexChange) => this.take(change);
-  private isDeciding = false;
+  private readonly listener = (change: IndexChange) => this.applyChange(change);
+  private isDecisionScheduled = false;
   private tickTimer: NodeJS.Timeout | undefined;
   private progressTimer: NodeJS.Timeout | undefined;
 
-  constructor(private readonly parts: RunnerParts) {
-    const {roster, lease, links, protocol, named, vmName, termId, logger} =
-      parts;
-    const engine = parts.config.table?.engines[0]?.engine;
+  constructor(private readonly deps: RunnerDeps) {
+    const {
+      roster,
+      lease,
+      links,
+      protocol,
+      newestVersions,
+      vmName,
+      termId,
+      logger,
+    } = deps;
+    const engine = deps.config.table?.engines[0]?.engine;
     const tokensPerEvent = engine?.tokensPerEvent ?? DEFAULT_TOKENS_PER_EVENT;
     this.scheduler = new BatchScheduler({
       tokensPerEvent,
       runPrefix: termId,
       isQuarantined: job => this.isHeld(job),
     });
-    this.itemLog = new ItemLog(parts.store, parts.shelf, termId);
-    this.loader = new BatchLoader(parts.store, parts.shelf, logger);
+    this.itemLog = new ItemLog(deps.store, deps.replicas, termId);
+    this.loader = new BatchLoader(deps.store, deps.replicas, logger);
     this.fleet = new EngineFleet(roster);
     const reports = new EngineReports(links, protocol, this.fleet, logger);
-    this.succession = new SuccessionWatch({
+    this.failover = new FailoverWatch({
       fetchReport: entry => reports.fetch(entry),
-      now: () => parts.clock.now(),
-      findContactMs: () => lease.lastContactMs,
+      now: () => deps.clock.now(),
+      getContactMs: () => lease.lastContactMs,
       listEngines: () => this.listEngines(),
-      countOwn: engineId => this.scheduler.countRuns(engineId),
-      onSuperseded: foreign => this.yieldRuns(foreign),
+      countOwnRuns: engineId => this.scheduler.countRuns(engineId),
+      onSuperseded: foreign => this.onSuperseded(foreign),
     });
-    this.rewards = new RewardTask(parts, {
+    this.rewards = new RewardTask(deps, {
       onScore: (job, score) => {
         this.scheduler.onScore(job, score);
-        this.decideSoon();
+        this.scheduleDecision();
       },
-      onFailed: (job, attempts) => this.noteRewardFailure(job, attempts),
-      onFree: () => this.decideSoon(),
+      onFailed: (job, attempts) => this.recordRewardFailure(job, attempts),
+      onFree: () => this.scheduleDecision(),
     });
     this.weights = new WeightTask({
       lease,
@@ -163,8 +174,8 @@
       links,
       protocol,
       scheduler: this.scheduler,
-      named,
-      metrics: parts.metrics,
+      newestVersions: newestVersions,
+      metrics: deps.metrics,
       vmName,
       logger,
     });
@@ -177,26 +188,26 @@
 
   /** Reads what there is and starts to run it. */
   async start(): Promise<void> {
-    const {shelf} = this.parts;
-    const books = shelf.openAll();
+    const {replicas} = this.deps;
+    const replicaList = replicas.openAll();
     // One listener for each partition that is followed.
     setMaxListeners(0, this.abort.signal);
-    await Promise.all(books.map(book => book.sync()));
+    await Promise.all(replicaList.map(replica => replica.sync()));
     if (this.abort.signal.aborted) return;
-    const begun = books.flatMap(book => [...book.index.entries]);
-    begun.sort((a, b) => a.header.submittedAtMs - b.header.submittedAtMs);
-    for (const entry of begun) {
+    const indexed = replicaList.flatMap(replica => [...replica.index.entries]);
+    indexed.sort((a, b) => a.header.submittedAtMs - b.header.submittedAtMs);
+    for (const entry of indexed) {
       if (!isComplete(entry)) void this.open(entry, true);
     }
-    for (const book of books) {
-      book.listen(this.listener);
-      void book.follow(this.abort.signal);
+    for (const replica of replicaList) {
+      replica.addListener(this.listener);
+      void replica.follow(this.abort.signal);
     }
     this.tickTimer = setInterval(() => this.tick(), TICK_MS);
     this.progressTimer = setInterval(() => {
       this.writeProgress();
-      this.scheduler.forget(Date.now() - KEEP_BATCH_MS);
-      void this.succession.check();
+      this.scheduler.forget(Date.now() - BATCH_RETENTION_MS);
+      void this.failover.check();
     }, PROGRESS_MS);
   }
 
@@ -208,14 +219,15 @@
     clearInterval(this.progressTimer);
     this.weights.stop();
     this.rewards.stop();
-    for (const book of this.parts.shelf.openAll()) book.unlisten(this.listener);
+    for (const replica of this.deps.replicas.openAll())
+      replica.removeListener(this.listener);
     this.stopRuns();
   }
 
   /** An endpoint's entry changed. */
-  noteEndpoint(id: string): void {
-    const entry = this.parts.roster.get(id);
-    if (entry) this.fleet.noteEntry(entry);
+  onEndpointChange(id: string): void {
+    const entry = this.deps.roster.get(id);
+    if (entry) this.fleet.recordEntry(entry);
   }
 
   /** An endpoint is gone or another one now. */
@@ -228,10 +240,10 @@
     for (const {batch} of this.scheduler.openBatches) {
       this.scheduler.setTerms(batch.id, this.findTerms(batch, table));
     }
-    this.decideSoon();
+    this.scheduleDecision();
   }
 
-  private take(change: IndexChange): void {
+  private applyChange(change: IndexChange): void {
     const {entry} = change;
     const {id} = entry.header;
     switch (change.kind) {
@@ -245,27 +257,30 @@
         this.scheduler.onResultListed(id, change.listed);
         if (isComplete(entry)) this.scheduler.closeBatch(id);
     }
-    this.decideSoon();
+    this.scheduleDecision();
   }
 
   /** Reads the batch and hands it to the scheduler. */
-  private async open(entry: IndexedBatch, isBegun: boolean): Promise<void> {
+  private async open(
+    entry: IndexedBatch,
+    mayHaveProgress: boolean,
+  ): Promise<void> {
     const {header} = entry;
     if (this.loading.has(header.id)) return;
     if (this.scheduler.hasBatch(header)) return;
     this.loading.add(header.id);
-    await this.openEarlier(entry);
+    await this.loadEarlier(entry);
     const {signal} = this.abort;
-    const options = {isBegun, textsOf: NO_ITEMS};
+    const options = {mayHaveProgress: mayHaveProgress, textsOf: NO_ITEMS};
     const state = await this.loader.load(entry, options, signal);
     this.loading.delete(header.id);
-    const {table} = this.parts.config;
+    const {table} = this.deps.config;
     if (!state || !table || signal.aborted) return;
-    const failed = countEarlierFailures(entry, this.listKnown());
+    const failed = countEarlierFailures(entry, this.listIndexed());
     this.scheduler.openBatch(state, this.findTerms(header, table), failed);
     // Records that came while the payload was read.
     if (isComplete(entry)) this.scheduler.closeBatch(header.id);
-    this.decideSoon();
+    this.scheduleDecision();
   }
 
   /**
@@ -273,12 +288,12 @@
    * coordinator made of their items is read before that one begins, or it would
    * all be made anew.
    */
-  private async openEarlier(entry: IndexedBatch): Promise<void> {
-    const known = this.listKnown();
+  private async loadEarlier(entry: IndexedBatch): Promise<void> {
+    const indexed = this.listIndexed();
     const textsOf = new Set(entry.items.keys());
-    for (const earlier of listEarlierBatches(entry, known)) {
+    for (const earlier of listEarlierBatches(entry, indexed)) {
       if (this.scheduler.hasBatch(earlier.header)) continue;
-      const options = {isBegun: true, textsOf};
+      const options = {mayHaveProgress: true, textsOf};
       const {signal} = this.abort;
       const state = await this.loader.load(earlier, options, signal);
       if (state) this.scheduler.openBatch(state, undefined);
@@ -287,9 +302,9 @@
   }
 
   /** Batches that the index has, of all partitions. */
-  private listKnown(): readonly IndexedBatch[] {
-    const books = this.parts.shelf.openAll();
-    return books.flatMap(book => [...book.index.entries]);
+  private listIndexed(): readonly IndexedBatch[] {
+    const replicaList = this.deps.replicas.openAll();
+    return replicaList.flatMap(replica => [...replica.index.entries]);
   }
 
   private findTerms(
@@ -300,7 +315,7 @@
     if (!route?.batch) return undefined;
     const service = pickService(route, 0);
     if (service === undefined) return undefined;
-    const submittedMs = this.parts.clock.toSteady(batch.submittedAtMs);
+    const submittedMs = this.deps.clock.toSteady(batch.submittedAtMs);
     return {
       service,
       attempts: route.attempts,
@@ -312,7 +327,7 @@
   }
 
   private tick(): void {
-    const {config, clock} = this.parts;
+    const {config, clock} = this.deps;
     const {table} = config;
     if (!table) return;
     const engines = this.fleet.describe(table.engines, clock.now());
@@ -322,42 +337,42 @@
   }
 
   /** Decides once for all that happens within a few ms. */
-  private decideSoon(): void {
-    if (this.isDeciding) return;
-    this.isDeciding = true;
+  private scheduleDecision(): void {
+    if (this.isDecisionScheduled) return;
+    this.isDecisionScheduled = true;
     setTimeout(() => {
-      this.isDeciding = false;
+      this.isDecisionScheduled = false;
       if (!this.abort.signal.aborted) this.decide();
-    }, DECIDE_MS);
+    }, DECIDE_DELAY_MS);
   }
 
   private decide(): void {
-    const nowMs = this.parts.clock.now();
-    const {lastContactMs} = this.parts.lease;
-    if (lastContactMs < this.yieldedMs) return;
-    if (nowMs - lastContactMs > BLIND_MS) return;
-    for (const action of this.scheduler.decide(nowMs)) this.act(action);
+    const nowMs = this.deps.clock.now();
+    const {lastContactMs} = this.deps.lease;
+    if (lastContactMs < this.supersededMs) return;
+    if (nowMs - lastContactMs > MAX_LOG_SILENCE_MS) return;
+    for (const action of this.scheduler.decide(nowMs)) this.perform(action);
     this.rewards.decide(this.scheduler.listUnscored());
   }
 
   private listEngines(): readonly EndpointEntry[] {
-    const {roster, clock, config} = this.parts;
+    const {roster, clock, config} = this.deps;
     const services = config.table?.engines ?? [];
     return services.flatMap(({name}) => roster.listUsable(name, clock.now()));
   }
 
   /** Leaves the items to the VM that runs them too. */
-  private yieldRuns(foreign: number): void {
-    this.yieldedMs = this.parts.clock.now();
-    if (this.live.size === 0) return;
-    this.parts.logger.log('warn', 'items are run by another VM', {
+  private onSuperseded(foreign: number): void {
+    this.supersededMs = this.deps.clock.now();
+    if (this.liveRuns.size === 0) return;
+    this.deps.logger.log('warn', 'items are run by another VM', {
       runs: foreign,
     });
     this.stopRuns();
     this.rewards.decide([]);
   }
 
-  private act(action: ScheduleAction): void {
+  private perform(action: ScheduleAction): void {
     switch (action.kind) {
       case 'start':
         this.startRun(action.run, action.reason);
@@ -367,7 +382,7 @@
         this.stopRun(action.run);
         return;
       case 'list':
-        this.parts.logger.log('info', 'item has a result', {
+        this.deps.logger.log('info', 'item has a result', {
           requestId: action.result.itemId,
           batch: action.batchId,
           outcome: action.result.state,
@@ -379,25 +394,25 @@
   }
 
   private startRun(run: Run, reason: string): void {
-    const {roster, clock, crashes} = this.parts;
+    const {roster, clock, crashes} = this.deps;
     const entry = roster.get(run.engineId);
     if (!entry) {
       this.scheduler.onRunEnd(run, 'unreachable', clock.now());
       return;
     }
     this.logRun(run, 'run started', reason);
-    const name = () => this.fingerprint(run.job);
-    if (!crashes.isSuspect(name)) return this.generate(run, entry);
-    this.live.set(run.id, {run});
-    void crashes.isFit(entry, name).then(isFit => {
-      if (!this.live.has(run.id)) return;
+    const getFingerprint = () => this.fingerprint(run.job);
+    if (!crashes.isSuspect(getFingerprint)) return this.generate(run, entry);
+    this.liveRuns.set(run.id, {run});
+    void crashes.isFit(entry, getFingerprint).then(isFit => {
+      if (!this.liveRuns.has(run.id)) return;
       if (isFit) this.generate(run, entry);
       else this.endRun(run, 'unreachable', 'the engine is gone');
     });
   }
 
   private generate(run: Run, entry: EndpointEntry): void {
-    const {links, protocol, clock} = this.parts;
+    const {links, protocol, clock} = this.deps;
     const {job} = run;
     const terms = job.batch.terms!;
     const {lastEventId} = job.transcript;
@@ -405,9 +420,7 @@
     const expectVersion = terms.singleVersion
       ? this.fleet.getVersion(entry.id, job.batch.batch.model)
       : undefined;
-    const watched = this.parts.crashes.begin(entry, () =>
-      this.fingerprint(job),
-    );
+    const watched = this.deps.crashes.begin(entry, () => this.fingerprint(job));
     const generation = new Generation(
       links.open(entry),
       protocol,
@@ -417,25 +430,25 @@
         endpointId: entry.id,
         host: job.batch.batch.host,
         deadlineMs,
-        caller: this.parts.config.describeOwner(job.batch.batch.account),
+        caller: this.deps.config.describeOwner(job.batch.batch.account),
         ...(lastEventId === undefined ? {} : {lastEventId}),
         ...(expectVersion === undefined ? {} : {expectVersion}),
       },
       {
         onEvent: event => {
           watched.noteEvent();
-          this.takeEvent(run, {...event, run: run.id});
+          this.handleEvent(run, {...event, run: run.id});
         },
         onEnd: (end, detail) => this.endRun(run, end, detail),
       },
     );
-    this.live.set(run.id, {run, work: {generation, watched}});
+    this.liveRuns.set(run.id, {run, execution: {generation, watched}});
   }
 
-  private takeEvent(run: Run, event: OutputEvent): void {
-    const nowMs = this.parts.clock.now();
+  private handleEvent(run: Run, event: OutputEvent): void {
+    const nowMs = this.deps.clock.now();
     const {model} = run.job.batch.batch;
-    this.fleet.noteVersion(run.engineId, model, event.version);
+    this.fleet.recordVersion(run.engineId, model, event.version);
     if (this.scheduler.onEvent(run, event, nowMs)) return;
     // A gap or a repeat: what this stream says can not be joined to the rest.
     this.logRun(run, 'run out of order', `event ${event.id}`);
@@ -443,58 +456,59 @@
   }
 
   private stopRuns(): void {
-    for (const {run} of [...this.live.values()]) this.stopRun(run);
+    for (const {run} of [...this.liveRuns.values()]) this.stopRun(run);
   }
 
   private stopRun(run: Run): void {
-    const live = this.live.get(run.id);
+    const live = this.liveRuns.get(run.id);
     if (!live) return;
-    if (live.work) live.work.generation.stop();
+    if (live.execution) live.execution.generation.stop();
     else this.endRun(run, 'stopped', 'stopped');
   }
 
   private endRun(run: Run, end: RunEnd, detail: string): void {
-    const live = this.live.get(run.id);
-    this.live.delete(run.id);
-    live?.work?.watched.end(judgeEnd(end));
+    const live = this.liveRuns.get(run.id);
+    this.liveRuns.delete(run.id);
+    live?.execution?.watched.end(classifyEnd(end));
     this.logEnd(run, end, detail);
-    this.parts.metrics.count(`run_${end}`);
+    this.deps.metrics.count(`run_${end}`);
     if (end === 'broken' || end === 'unreachable') {
-      this.parts.links.renew(run.engineId);
+      this.deps.links.renew(run.engineId);
     }
     if (live && end !== 'finished') this.itemLog.writeProgress(run.job);
     if (end === 'failed') this.itemLog.writeFailure('attempt_failed', run.job);
     if (end === 'impossible') {
       this.itemLog.writeFailure('attempt_impossible', run.job);
     }
-    this.scheduler.onRunEnd(run, end, this.parts.clock.now());
-    if (run.job.state === 'unscored') this.itemLog.writeWholeText(run.job);
-    this.decideSoon();
+    this.scheduler.onRunEnd(run, end, this.deps.clock.now());
+    if (run.job.state === 'unscored') this.itemLog.writeCompleteText(run.job);
+    this.scheduleDecision();
   }
 
-  private noteRewardFailure(job: Job, attempts: number): void {
+  private recordRewardFailure(job: Job, attempts: number): void {
     this.itemLog.writeFailure('reward_failed', job);
     this.scheduler.onRewardFailure(job, attempts);
-    this.decideSoon();
+    this.scheduleDecision();
   }
 
   /** Whether the item must not run now, or not before a crash beside it is known or not. */
   private isHeld(job: Job): boolean {
-    const {crashes} = this.parts;
+    const {crashes} = this.deps;
     const name = () => this.fingerprint(job);
     return crashes.isHeld(name) || crashes.isAsked(name);
   }
 
   private fingerprint(job: Job): string {
-    const known = this.fingerprints.get(job);
-    if (known !== undefined) return known;
+    const cached = this.fingerprints.get(job);
+    if (cached !== undefined) return cached;
     const fingerprint = fingerprintItem(job);
     this.fingerprints.set(job, fingerprint);
     return fingerprint;
   }
 
   private writeProgress(): void {
-    for (const {run} of this.live.values()) this.itemLog.writeProgress(run.job);
+    for (const {run} of this.liveRuns.values())
+      this.itemLog.writeProgress(run.job);
   }
 
   private logEnd(run: Run, end: RunEnd, reason: string): void {
@@ -502,11 +516,11 @@
     if (end !== 'broken') return this.logRun(run, `run ${end}`, reason);
     const fingerprint = this.fingerprint(run.job);
     const fields = {...this.describeRun(run, reason), fingerprint};
-    this.parts.logger.log('info', 'run broken', fields);
+    this.deps.logger.log('info', 'run broken', fields);
   }
 
-  private logRun(run: Run, message: RunEvent, reason: string): void {
-    this.parts.logger.log('info', message, this.describeRun(run, reason));
+  private logRun(run: Run, message: RunLogEvent, reason: string): void {
+    this.deps.logger.log('info', message, this.describeRun(run, reason));
   }
 
   private describeRun({job, engineId}: Run, reason: string) {
@@ -516,12 +530,12 @@
       endpoint: engineId,
       reason,
       from: job.transcript.lastEventId ?? -1,
-      configVersion: this.parts.config.version,
+      configVersion: this.deps.config.version,
     };
   }
 }
 
-function judgeEnd(end: RunEnd): WatchedEnd {
+function classifyEnd(end: RunEnd): WatchedEnd {
   switch (end) {
     case 'finished':
     case 'failed':
--- a/packages/daemon/src/gateway/batches/batch_topics.ts
+++ b/packages/daemon/src/gateway/batches/batch_topics.ts
@@ -8,4 +8,4 @@
 export const PROGRESS_TOPIC = 'batch_progress';
 
 /** Batches are forgotten this long after their submission, ms: callers may read for 120 s, and clocks of VMs differ. */
-export const KEEP_BATCH_MS = 180_000;
+export const BATCH_RETENTION_MS = 180_000;
--- a/packages/daemon/src/gateway/batches/succession_watch.ts
+++ b/packages/daemon/src/gateway/batches/failover_watch.ts
@@ -12,25 +12,25 @@
 import type {EngineReport} from '../endpoints/endpoint_protocol.js';
 
 /** Engines are asked once the log has been silent this long, ms: a successor claims after 1.1 s and needs a moment to start runs. */
-const SUSPECT_MS = 1300;
+const QUERY_SILENCE_MS = 1300;
 /** Engines asked in one round; the runs of a successor are spread over many. */
-const MAX_ASKED = 8;
+const MAX_QUERIED = 8;
 /** Runs of others are a successor's if they are this many at least, and this part of one's own: it takes over all open items, and reports lag by what ended in some hundred ms. */
-const MIN_FOREIGN = 6;
+const MIN_FOREIGN_RUNS = 6;
 const FOREIGN_SHARE = 0.5;
 /** Rounds in a row that must find them: a run that moves is reported twice for a moment. */
 const MIN_ROUNDS = 2;
 
-export interface SuccessionParts {
+export interface FailoverDeps {
   readonly fetchReport: (
     entry: EndpointEntry,
   ) => Promise<EngineReport | undefined>;
   /** Own runs on an engine. */
-  readonly countOwn: (engineId: string) => number;
+  readonly countOwnRuns: (engineId: string) => number;
   /** Steady ms. */
   readonly now: () => number;
   /** Steady ms of the last contact with the log. */
-  readonly findContactMs: () => number;
+  readonly getContactMs: () => number;
   readonly listEngines: () => readonly EndpointEntry[];
   readonly onSuperseded: (foreignRuns: number) => void;
 }
@@ -41,35 +41,37 @@
   readonly foreign: number;
 }
 
-export class SuccessionWatch {
-  private isAsking = false;
-  private rounds = 0;
+export class FailoverWatch {
+  private isQuerying = false;
+  private positiveRounds = 0;
 
-  constructor(private readonly parts: SuccessionParts) {}
+  constructor(private readonly deps: FailoverDeps) {}
 
   /** Looks whether there is a reason to ask the engines, and asks; to be called often. */
   async check(): Promise<void> {
-    const silentMs = this.parts.now() - this.parts.findContactMs();
-    if (silentMs <= SUSPECT_MS) this.rounds = 0;
-    if (silentMs <= SUSPECT_MS || this.isAsking) return;
-    this.isAsking = true;
-    await this.ask();
-    this.isAsking = false;
+    const silentMs = this.deps.now() - this.deps.getContactMs();
+    if (silentMs <= QUERY_SILENCE_MS) this.positiveRounds = 0;
+    if (silentMs <= QUERY_SILENCE_MS || this.isQuerying) return;
+    this.isQuerying = true;
+    await this.queryEngines();
+    this.isQuerying = false;
   }
 
-  private async ask(): Promise<void> {
-    const engines = this.parts.listEngines().slice(0, MAX_ASKED);
-    const counts = await Promise.all(engines.map(entry => this.askOne(entry)));
+  private async queryEngines(): Promise<void> {
+    const engines = this.deps.listEngines().slice(0, MAX_QUERIED);
+    const counts = await Promise.all(
+      engines.map(entry => this.queryEngine(entry)),
+    );
     const own = counts.reduce((sum, count) => sum + count.own, 0);
     const foreign = counts.reduce((sum, count) => sum + count.foreign, 0);
-    const isMany = foreign >= Math.max(MIN_FOREIGN, own * FOREIGN_SHARE);
-    this.rounds = isMany ? this.rounds + 1 : 0;
-    if (this.rounds >= MIN_ROUNDS) this.parts.onSuperseded(foreign);
+    const isMany = foreign >= Math.max(MIN_FOREIGN_RUNS, own * FOREIGN_SHARE);
+    this.positiveRounds = isMany ? this.positiveRounds + 1 : 0;
+    if (this.positiveRounds >= MIN_ROUNDS) this.deps.onSuperseded(foreign);
   }
 
-  private async askOne(entry: EndpointEntry): Promise<RunCounts> {
-    const report = await this.parts.fetchReport(entry);
-    const own = this.parts.countOwn(entry.id);
+  private async queryEngine(entry: EndpointEntry): Promise<RunCounts> {
+    const report = await this.deps.fetchReport(entry);
+    const own = this.deps.countOwnRuns(entry.id);
     if (!report) return {own, foreign: 0};
     return {own, foreign: Math.max(report.runs - own, 0)};
   }
--- a/packages/daemon/src/gateway/batches/generation.ts
+++ b/packages/daemon/src/gateway/batches/generation.ts
@@ -23,12 +23,12 @@
 }
 
 /** A connection must be made within this time, ms; distances are a few ms. */
-const CONNECT_MS = 400;
+const CONNECT_TIMEOUT_MS = 400;
 
 export class Generation {
   private readonly req: http.ClientRequest;
   private isConnected = false;
-  private isOver = false;
+  private hasEnded = false;
   private version: number | undefined;
   private readonly parser: EventSourceParser;
 
@@ -41,10 +41,11 @@
     private readonly events: GenerationEvents,
   ) {
     this.parser = createParser({
-      onEvent: event => this.takeEvent(event.id, event.data),
+      onEvent: event => this.handleEvent(event.id, event.data),
       // A change of the weight version stands in a field of its own.
       onError: err => {
-        if (err.type === 'unknown-field') this.takeField(err.field, err.value);
+        if (err.type === 'unknown-field')
+          this.handleField(err.field, err.value);
       },
     });
     const headers = protocol.generationHeaders(item, terms);
@@ -62,9 +63,9 @@
       onConnected: () => (this.isConnected = true),
       onTimeout: () => this.giveUpConnecting(),
     };
-    watchConnection(this.req, connection, CONNECT_MS);
-    this.req.on('error', err => this.breakOff(err.message));
-    this.req.on('close', () => this.breakOff('the connection closed'));
+    watchConnection(this.req, connection, CONNECT_TIMEOUT_MS);
+    this.req.on('error', err => this.onDisconnect(err.message));
+    this.req.on('close', () => this.onDisconnect('the connection closed'));
     this.req.on('response', res => this.receive(res));
     this.req.end(item.body);
   }
@@ -76,7 +77,7 @@
   }
 
   private giveUpConnecting(): void {
-    this.reject('unreachable', `no connection in ${CONNECT_MS} ms`);
+    this.reject('unreachable', `no connection in ${CONNECT_TIMEOUT_MS} ms`);
   }
 
   private receive(res: http.IncomingMessage): void {
@@ -86,7 +87,7 @@
       return this.reject('broken', 'the answer is to another request');
     }
     if (status !== 200) {
-      this.drain(res, judgeStatus(status, facts.isNotExecuted), status);
+      this.drain(res, classifyStatus(status, facts.isNotExecuted), status);
       return;
     }
     if (
@@ -98,9 +99,9 @@
     this.version = facts.weightVersion;
     res.setEncoding('utf8');
     res.on('data', (text: string) => this.parser.feed(text));
-    res.on('error', err => this.breakOff(err.message));
+    res.on('error', err => this.onDisconnect(err.message));
     res.on('end', () => {
-      if (!res.complete) return this.breakOff('the stream broke off');
+      if (!res.complete) return this.onDisconnect('the stream broke off');
       this.end('finished', 'whole');
     });
   }
@@ -112,7 +113,7 @@
     this.end(end, `status ${status}`);
   }
 
-  private takeField(
+  private handleField(
     field: string | undefined,
     value: string | undefined,
   ): void {
@@ -121,8 +122,8 @@
     if (Number.isInteger(version)) this.version = version;
   }
 
-  private takeEvent(id: string | undefined, data: string): void {
-    if (this.isOver) return;
+  private handleEvent(id: string | undefined, data: string): void {
+    if (this.hasEnded) return;
     const eventId = Number(id);
     if (id === undefined || !Number.isInteger(eventId)) {
       return this.reject('broken', 'an event has no number');
@@ -138,18 +139,18 @@
     this.req.destroy();
   }
 
-  private breakOff(detail: string): void {
+  private onDisconnect(detail: string): void {
     this.end(this.isConnected ? 'broken' : 'unreachable', detail);
   }
 
   private end(end: RunEnd, detail: string): void {
-    if (this.isOver) return;
-    this.isOver = true;
+    if (this.hasEnded) return;
+    this.hasEnded = true;
     this.events.onEnd(end, detail);
   }
 }
 
-function judgeStatus(status: number, isNotExecuted: boolean): RunEnd {
+function classifyStatus(status: number, isNotExecuted: boolean): RunEnd {
   if (status === 421) return 'misdirected';
   if (isNotExecuted) return 'refused';
   if (status === 422) return 'impossible';
--- a/packages/daemon/src/gateway/batches/batch_book.ts
+++ b/packages/daemon/src/gateway/batches/index_replica.ts
@@ -21,7 +21,7 @@
 import {setTimeout as sleep} from 'node:timers/promises';
 import type {EventLogger} from '../../logger.js';
 import {decodeBatch, decodeIndexRecord} from './batch_codec.js';
-import {INDEX_TOPIC, KEEP_BATCH_MS} from './batch_topics.js';
+import {INDEX_TOPIC, BATCH_RETENTION_MS} from './batch_topics.js';
 import {PayloadLog} from './payload_log.js';
 import type {LogStore, StoredRecord} from '../store/log_store.js';
 
@@ -38,12 +38,12 @@
 
 type Listener = (change: IndexChange) => void;
 
-export class BatchBook {
+export class IndexReplica {
   readonly index = new BatchIndex();
   private readonly payloads: PayloadLog;
-  private next = 0;
-  private running: Promise<SyncOutcome> | undefined;
-  private queued: Promise<SyncOutcome> | undefined;
+  private nextOffset = 0;
+  private currentSync: Promise<SyncOutcome> | undefined;
+  private nextSync: Promise<SyncOutcome> | undefined;
   private readonly listeners = new Set<Listener>();
 
   constructor(
@@ -54,11 +54,11 @@
     this.payloads = new PayloadLog(store);
   }
 
-  listen(listener: Listener): void {
+  addListener(listener: Listener): void {
     this.listeners.add(listener);
   }
 
-  unlisten(listener: Listener): void {
+  removeListener(listener: Listener): void {
     this.listeners.delete(listener);
   }
 
@@ -67,19 +67,21 @@
    * share the next one: that under way may have begun before them.
    */
   sync(): Promise<SyncOutcome> {
-    if (!this.running) {
-      this.running = this.readToEnd().finally(() => (this.running = undefined));
-      return this.running;
+    if (!this.currentSync) {
+      this.currentSync = this.readToEnd().finally(
+        () => (this.currentSync = undefined),
+      );
+      return this.currentSync;
     }
-    this.queued ??= this.running.then(() => {
-      this.queued = undefined;
+    this.nextSync ??= this.currentSync.then(() => {
+      this.nextSync = undefined;
       return this.sync();
     });
-    return this.queued;
+    return this.nextSync;
   }
 
   /** Waits up to `waitMs` for a record behind those known. */
-  async waitForNews(
+  async waitForRecords(
     waitMs: number,
     signal?: AbortSignal,
   ): Promise<SyncOutcome> {
@@ -159,7 +161,7 @@
     const outcome = await store.read(
       INDEX_TOPIC,
       partition,
-      this.next,
+      this.nextOffset,
       options,
     );
     switch (outcome.kind) {
@@ -168,26 +170,26 @@
       case 'expired':
         this.logger.log('info', 'start of a partition is gone', {
           partition,
-          from: this.next,
+          from: this.nextOffset,
           first: outcome.firstOffset,
         });
-        this.next = Math.max(this.next, outcome.firstOffset);
+        this.nextOffset = Math.max(this.nextOffset, outcome.firstOffset);
         return {kind: 'read', isAtEnd: false};
       case 'page':
         await this.applyAll(outcome.records);
-        return {kind: 'read', isAtEnd: this.next >= outcome.endOffset};
+        return {kind: 'read', isAtEnd: this.nextOffset >= outcome.endOffset};
     }
   }
 
   private async applyAll(records: readonly StoredRecord[]): Promise<void> {
     for (const [index, {offset, bytes}] of records.entries()) {
       // Two reads may be under way at once and bring the same records.
-      if (offset < this.next) continue;
-      this.next = offset + 1;
+      if (offset < this.nextOffset) continue;
+      this.nextOffset = offset + 1;
       this.applyOne(bytes, offset);
       if (index % SLICE_RECORDS === SLICE_RECORDS - 1) await sleep(0);
     }
-    this.index.forget(Date.now() - KEEP_BATCH_MS);
+    this.index.forget(Date.now() - BATCH_RETENTION_MS);
   }
 
   private decode(bytes: Uint8Array, offset: number): IndexRecord | undefined {
@@ -224,8 +226,8 @@
 }
 
 /** All partitions of this VM. */
-export class BatchShelf {
-  private readonly books = new Map<number, BatchBook>();
+export class IndexReplicas {
+  private readonly byPartition = new Map<number, IndexReplica>();
 
   constructor(
     private readonly store: LogStore,
@@ -233,7 +235,7 @@
   ) {}
 
   /** The partition that keeps `batchId`; the same on every VM. */
-  locate(batchId: string): BatchBook {
+  locate(batchId: string): IndexReplica {
     let hash = 0;
     for (let i = 0; i < batchId.length; i++) {
       hash = (Math.imul(hash, 31) + batchId.charCodeAt(i)) >>> 0;
@@ -241,16 +243,16 @@
     return this.open(hash % this.store.partitions);
   }
 
-  open(partition: number): BatchBook {
-    let book = this.books.get(partition);
-    if (!book) {
-      book = new BatchBook(this.store, partition, this.logger);
-      this.books.set(partition, book);
+  open(partition: number): IndexReplica {
+    let replica = this.byPartition.get(partition);
+    if (!replica) {
+      replica = new IndexReplica(this.store, partition, this.logger);
+      this.byPartition.set(partition, replica);
     }
-    return book;
+    return replica;
   }
 
-  openAll(): readonly BatchBook[] {
+  openAll(): readonly IndexReplica[] {
     return Array.from({length: this.store.partitions}, (_, i) => this.open(i));
   }
 }
--- a/packages/daemon/src/gateway/batches/item_log.ts
+++ b/packages/daemon/src/gateway/batches/item_log.ts
@@ -3,7 +3,7 @@
 import type {Job} from '@radishyoke/core/batches/batch_job';
 import type {ItemResult} from '@radishyoke/core/batches/batch_record';
 import type {LogStore} from '../store/log_store.js';
-import type {BatchShelf} from './batch_book.js';
+import type {IndexReplicas} from './index_replica.js';
 import {IndexWriter, ProgressWriter} from './record_writer.js';
 
 type FailureKind = 'attempt_failed' | 'attempt_impossible' | 'reward_failed';
@@ -20,7 +20,7 @@
 
   constructor(
     private readonly store: LogStore,
-    private readonly shelf: BatchShelf,
+    private readonly replicas: IndexReplicas,
     /** Names the coordinator in the results that it lists. */
     private readonly writer: string,
   ) {}
@@ -28,13 +28,17 @@
   writeResult(batchId: string, result: ItemResult): void {
     const {output, ...rest} = result;
     const listed = {...rest, writer: this.writer};
-    this.open(batchId).index.writeResult(batchId, listed, Buffer.from(output));
+    this.openWriters(batchId).index.writeResult(
+      batchId,
+      listed,
+      Buffer.from(output),
+    );
   }
 
   /** An endpoint answered that an attempt, or a reward call, failed. */
   writeFailure(kind: FailureKind, job: Job): void {
     const {id: batchId} = job.batch.batch;
-    this.open(batchId).index.write({kind, batchId, itemId: job.item.id});
+    this.openWriters(batchId).index.write({kind, batchId, itemId: job.item.id});
   }
 
   /** Writes the events that came since the last time. */
@@ -50,7 +54,7 @@
    * the text again. The last event goes along even if it was written before, as
    * it is what the mark stands behind.
    */
-  writeWholeText(job: Job): void {
+  writeCompleteText(job: Job): void {
     const last = job.transcript.events.length - 1;
     this.writeText(job, Math.min(job.recordedEvents, last), true);
   }
@@ -60,7 +64,7 @@
     const {events} = job.transcript;
     const {id: batchId} = job.batch.batch;
     const afterRun = events[from - 1]?.run;
-    this.open(batchId).progress.write({
+    this.openWriters(batchId).progress.write({
       batchId,
       itemId: job.item.id,
       ...(afterRun === undefined ? {} : {afterRun}),
@@ -70,8 +74,8 @@
     job.recordedEvents = events.length;
   }
 
-  private open(batchId: string): Writers {
-    const {partition} = this.shelf.locate(batchId);
+  private openWriters(batchId: string): Writers {
+    const {partition} = this.replicas.locate(batchId);
     let writers = this.writers.get(partition);
     if (!writers) {
       writers = {
--- a/packages/daemon/src/gateway/batches/payload_log.ts
+++ b/packages/daemon/src/gateway/batches/payload_log.ts
@@ -14,7 +14,7 @@
 import {PAYLOAD_TOPIC} from './batch_topics.js';
 
 /** Bytes of the log by the offset of their record. */
-type Found = Map<number, Uint8Array>;
+type RecordsByOffset = Map<number, Uint8Array>;
 
 /** Where payloads were stored, or why they were not. */
 export type StoreOutcome =
@@ -22,7 +22,7 @@
   | {readonly kind: 'failed'; readonly error: RadishyokeError};
 
 /** Room that a read needs for what stands before a record, bytes. */
-const RECORD_HEAD_BYTES = 8;
+const RECORD_OVERHEAD_BYTES = 8;
 
 export class PayloadLog {
   constructor(private readonly store: LogStore) {}
@@ -35,18 +35,18 @@
     partition: number,
     payloads: readonly Uint8Array[],
   ): Promise<StoreOutcome> {
-    const cut = payloads.map(payload => this.cut(payload));
+    const splitPayload = payloads.map(payload => this.cut(payload));
     const offsets: number[] = [];
     const {maxAppendBytes} = this.store;
-    for (const call of splitCalls(cut.flat(), maxAppendBytes)) {
+    for (const call of groupIntoAppends(splitPayload.flat(), maxAppendBytes)) {
       const outcome = await this.store.append(PAYLOAD_TOPIC, partition, call);
       if (outcome.kind !== 'appended') {
-        return {kind: 'failed', error: explain(outcome)};
+        return {kind: 'failed', error: toError(outcome)};
       }
       for (const i of call.keys()) offsets.push(outcome.offset + i);
     }
     let next = 0;
-    const refs = cut.map(parts =>
+    const refs = splitPayload.map(parts =>
       parts.map(({length}) => ({offset: offsets[next++], bytes: length})),
     );
     return {kind: 'stored', refs};
@@ -57,19 +57,19 @@
     partition: number,
     refs: readonly PayloadRef[],
   ): Promise<Result<readonly Uint8Array[]>> {
-    const found: Found = new Map();
-    for (const run of listRuns(refs.flat())) {
-      const error = await this.readRun(partition, run, found);
+    const found: RecordsByOffset = new Map();
+    for (const run of groupContiguous(refs.flat())) {
+      const error = await this.readContiguous(partition, run, found);
       if (error) return fail(error);
     }
     return succeed(refs.map(ref => joinParts(ref, found)));
   }
 
   /** Reads records that follow each other; says what went wrong, if anything did. */
-  private async readRun(
+  private async readContiguous(
     partition: number,
     run: readonly PayloadPart[],
-    found: Found,
+    found: RecordsByOffset,
   ): Promise<RadishyokeError | undefined> {
     const end = run[0].offset + run.length;
     let next = run[0].offset;
@@ -77,7 +77,7 @@
       const left = run.slice(next - run[0].offset);
       const outcome = await this.store.read(PAYLOAD_TOPIC, partition, next, {
         waitMs: 0,
-        maxBytes: measure(left),
+        maxBytes: computeReadBytes(left),
       });
       if (outcome.kind === 'failed') return outcome.error;
       if (outcome.kind === 'expired' || outcome.records.length === 0) {
@@ -100,7 +100,7 @@
   }
 }
 
-function explain(
+function toError(
   outcome: Exclude<AppendOutcome, {kind: 'appended'}>,
 ): RadishyokeError {
   if (outcome.kind !== 'conflict') return outcome.error;
@@ -108,7 +108,7 @@
 }
 
 /** Groups records so that each group fits one append. */
-function splitCalls(
+function groupIntoAppends(
   records: readonly Uint8Array[],
   maxBytes: number,
 ): ReadonlyArray<readonly Uint8Array[]> {
@@ -126,7 +126,7 @@
 }
 
 /** Parts by offset, those that follow each other together. */
-function listRuns(
+function groupContiguous(
   parts: readonly PayloadPart[],
 ): ReadonlyArray<readonly PayloadPart[]> {
   const runs: PayloadPart[][] = [];
@@ -139,10 +139,10 @@
   return runs;
 }
 
-function measure(parts: readonly PayloadPart[]): number {
-  return parts.reduce((sum, {bytes}) => sum + bytes + RECORD_HEAD_BYTES, 0);
+function computeReadBytes(parts: readonly PayloadPart[]): number {
+  return parts.reduce((sum, {bytes}) => sum + bytes + RECORD_OVERHEAD_BYTES, 0);
 }
 
-function joinParts(ref: PayloadRef, found: Found): Uint8Array {
+function joinParts(ref: PayloadRef, found: RecordsByOffset): Uint8Array {
   return Buffer.concat(ref.map(({offset}) => found.get(offset)!));
 }
--- a/packages/daemon/src/gateway/batches/reward_task.ts
+++ b/packages/daemon/src/gateway/batches/reward_task.ts
@@ -33,7 +33,7 @@
 import {fingerprintReward} from '../requests/request_fingerprints.js';
 import type {ConfigHolder} from '../store/config_holder.js';
 
-export interface RewardParts {
+export interface RewardDeps {
   readonly roster: EndpointRoster;
   readonly links: EndpointLinks;
   readonly view: EndpointView;
@@ -54,22 +54,22 @@
 }
 
 /** Time that one call may take where its rule states none, ms. */
-const DEFAULT_CALL_MS = 3000;
+const DEFAULT_TIMEOUT_MS = 3000;
 /** The endpoint gets this much less than the call waits, ms: its answer has to travel back. */
-const RETURN_MS = 20;
+const ANSWER_TRAVEL_MS = 20;
 /** The status that says that an endpoint ran the call and it failed; others, such as its own time-out, may pass. */
 const FAILED_STATUS = 500;
 
 export class RewardTask {
-  private readonly desk: RewardScheduler;
-  private readonly live = new Map<number, EndpointExchange>();
+  private readonly scheduler: RewardScheduler;
+  private readonly exchanges = new Map<number, EndpointExchange>();
   private isStopped = false;
 
   constructor(
-    private readonly parts: RewardParts,
+    private readonly deps: RewardDeps,
     private readonly events: RewardEvents,
   ) {
-    this.desk = new RewardScheduler(parts.dataCentre);
+    this.scheduler = new RewardScheduler(deps.dataCentre);
   }
 
   /** Starts and cancels calls for `jobs`, the most urgent first. */
@@ -78,50 +78,59 @@
     const nowMs = performance.now();
     const find = (job: Job, reward: RewardRequest) =>
       this.findEndpoints(job, reward, nowMs);
-    for (const action of this.desk.decide(jobs, find, nowMs, Math.random())) {
+    for (const action of this.scheduler.decide(
+      jobs,
+      find,
+      nowMs,
+      Math.random(),
+    )) {
       if (action.kind === 'call') void this.run(action.call);
-      else this.live.get(action.call.number)?.abort();
+      else this.exchanges.get(action.call.number)?.abort();
     }
   }
 
   stop(): void {
     this.isStopped = true;
-    for (const exchange of this.live.values()) exchange.abort();
+    for (const exchange of this.exchanges.values()) exchange.abort();
   }
 
   private findRoute({host, path}: RewardRequest): Route | undefined {
-    return this.parts.config.table?.match(host, path);
+    return this.deps.config.table?.match(host, path);
   }
 
   private findEndpoints(job: Job, reward: RewardRequest, nowMs: number) {
-    const {crashes} = this.parts;
-    const name = () => fingerprintReward(job, reward);
-    if (crashes.isHeld(name) || crashes.isAsked(name)) return undefined;
+    const {crashes} = this.deps;
+    const getFingerprint = () => fingerprintReward(job, reward);
+    if (crashes.isHeld(getFingerprint) || crashes.isAsked(getFingerprint))
+      return undefined;
     const route = this.findRoute(reward);
     const service = route && pickService(route, hashToUnitInterval(reward.id));
     if (service === undefined) return undefined;
-    const {roster, view} = this.parts;
+    const {roster, view} = this.deps;
     const usable = roster.listUsable(service, nowMs);
     return {endpoints: usable.map(entry => view.describe(entry, nowMs))};
   }
 
   private async run(call: RewardCall): Promise<void> {
-    const {roster, links, view, protocol} = this.parts;
+    const {roster, links, view, protocol} = this.deps;
     const entry = roster.get(call.endpointId);
-    if (!entry) return this.desk.onCallEnd(call, {kind: 'not_run'}, now());
+    if (!entry) return this.scheduler.onCallEnd(call, {kind: 'not_run'}, now());
     this.logStart(call);
     const exchange = new EndpointExchange(links.open(entry), protocol, entry);
-    this.live.set(call.number, exchange);
+    this.exchanges.set(call.number, exchange);
     view.noteStart(entry);
     const outcome = await this.exchange(call, entry, exchange);
     view.noteEnd(entry);
-    const isCancelled = !this.live.delete(call.number) || exchange.isAborted;
-    const end = isCancelled ? {kind: 'cancelled' as const} : judge(outcome);
+    const isCancelled =
+      !this.exchanges.delete(call.number) || exchange.isAborted;
+    const end = isCancelled
+      ? {kind: 'cancelled' as const}
+      : classifyOutcome(outcome);
     // A few texts can not be scored anywhere; that tells nothing of the endpoint.
-    const isNews = end.kind !== 'cancelled' && end.kind !== 'failed';
-    if (isNews) view.noteOutcome(entry, outcome, now());
+    const reflectsEndpoint = end.kind !== 'cancelled' && end.kind !== 'failed';
+    if (reflectsEndpoint) view.noteOutcome(entry, outcome, now());
     if (outcome.kind === 'unknown') links.renew(entry.id);
-    this.conclude(call, end, describe(outcome));
+    this.finish(call, end, describeOutcome(outcome));
   }
 
   private async exchange(
@@ -129,17 +138,17 @@
     entry: EndpointEntry,
     exchange: EndpointExchange,
   ): Promise<ExchangeOutcome> {
-    const {crashes} = this.parts;
+    const {crashes} = this.deps;
     const name = () => fingerprintReward(job, reward);
     const isFit = await crashes.isFit(entry, name);
     if (!isFit || exchange.isAborted) return ENDPOINT_GONE;
     const watched = crashes.begin(entry, name);
-    const timeoutMs = this.measureTimeoutMs(job, reward);
+    const timeoutMs = this.computeTimeoutMs(job, reward);
     const timer = setTimeout(() => exchange.giveUp(), timeoutMs);
-    const headers = this.parts.protocol.rewardHeaders(reward, {
+    const headers = this.deps.protocol.rewardHeaders(reward, {
       endpointId: entry.id,
-      deadlineMs: Math.max(Math.floor(timeoutMs - RETURN_MS), 1),
-      caller: this.parts.config.describeOwner(job.batch.batch.account),
+      deadlineMs: Math.max(Math.floor(timeoutMs - ANSWER_TRAVEL_MS), 1),
+      caller: this.deps.config.describeOwner(job.batch.batch.account),
     });
     const outcome = await exchange.run({
       method: 'POST',
@@ -153,15 +162,15 @@
     return outcome;
   }
 
-  private measureTimeoutMs(job: Job, reward: RewardRequest): number {
-    const routeMs = this.findRoute(reward)?.timeoutMs || DEFAULT_CALL_MS;
+  private computeTimeoutMs(job: Job, reward: RewardRequest): number {
+    const routeMs = this.findRoute(reward)?.timeoutMs || DEFAULT_TIMEOUT_MS;
     const leftMs = (job.batch.terms?.giveUpAtMs ?? Infinity) - now();
-    return Math.max(Math.min(routeMs, leftMs), RETURN_MS);
+    return Math.max(Math.min(routeMs, leftMs), ANSWER_TRAVEL_MS);
   }
 
-  private conclude(call: RewardCall, end: RewardEnd, detail: string): void {
-    this.desk.onCallEnd(call, end, now());
-    this.parts.metrics.count(`reward_${end.kind}`);
+  private finish(call: RewardCall, end: RewardEnd, detail: string): void {
+    this.scheduler.onCallEnd(call, end, now());
+    this.deps.metrics.count(`reward_${end.kind}`);
     this.logEnd(call, end, detail);
     if (this.isStopped) return;
     const {job, reward} = call;
@@ -170,7 +179,7 @@
         this.events.onScore(job, end.score);
         return;
       case 'failed':
-        this.events.onFailed(job, this.countAttempts(job, reward));
+        this.events.onFailed(job, this.getMaxAttempts(job, reward));
         return;
       default:
         this.events.onFree();
@@ -178,25 +187,25 @@
   }
 
   /** Failures that are enough: neither the item's rule nor that of the call may be cut short. */
-  private countAttempts(job: Job, reward: RewardRequest): number {
+  private getMaxAttempts(job: Job, reward: RewardRequest): number {
     const own = this.findRoute(reward)?.attempts ?? 1;
     return Math.max(own, job.batch.terms?.attempts ?? 1);
   }
 
   private logStart({job, reward, endpointId}: RewardCall): void {
-    this.parts.logger.log('info', 'reward call started', {
+    this.deps.logger.log('info', 'reward call started', {
       requestId: job.item.id,
       batch: job.batch.batch.id,
       call: reward.id,
       endpoint: endpointId,
       rule: this.findRoute(reward)?.name,
-      configVersion: this.parts.config.version,
+      configVersion: this.deps.config.version,
     });
   }
 
   private logEnd(call: RewardCall, end: RewardEnd, detail: string): void {
     const {job, reward, endpointId, startedMs} = call;
-    this.parts.logger.log('info', 'reward call ended', {
+    this.deps.logger.log('info', 'reward call ended', {
       requestId: job.item.id,
       batch: job.batch.batch.id,
       call: reward.id,
@@ -214,7 +223,7 @@
   return performance.now();
 }
 
-function judge(outcome: ExchangeOutcome): RewardEnd {
+function classifyOutcome(outcome: ExchangeOutcome): RewardEnd {
   switch (outcome.kind) {
     case 'answered': {
       const {status, facts} = outcome.answer;
@@ -232,7 +241,7 @@
   }
 }
 
-function describe(outcome: ExchangeOutcome): string {
+function describeOutcome(outcome: ExchangeOutcome): string {
   if (outcome.kind !== 'answered') return outcome.detail;
   return `status ${outcome.answer.status}`;
 }
--- a/packages/daemon/src/gateway/control/control_api.ts
+++ b/packages/daemon/src/gateway/control/control_api.ts
@@ -26,7 +26,7 @@
 export abstract class ControlApi {
   abstract reportUsage(
     report: UsageReport,
-    holder: CallCredentials,
+    credentials: CallCredentials,
   ): Promise<ControlAnswer>;
 
   abstract close(): void;
--- a/packages/daemon/src/gateway/crashes/__tests__/crash_news.spec.ts
+++ b/packages/daemon/src/gateway/crashes/__tests__/crash_news.spec.ts
@@ -42,7 +42,7 @@
 // Guards against news that a log which is away has not taken.
 test('what the log did not take is written again', async t => {
   const {book, news, store} = createNews(t);
-  store.plan.push('refused', 'unknown');
+  store.appendPlans.push('refused', 'unknown');
   book.merge('f', [MARK], Date.now());
   news.tell('f');
   await waitUntil(() => store.keyedWrites.length === 1);
@@ -53,7 +53,7 @@
 test('a VM that starts knows what stands in the log', async t => {
   const store = new MemoryStore();
   const value = Buffer.from(encodeMarks([MARK]));
-  store.newest.push({
+  store.newestReads.push({
     kind: 'page',
     records: [{key: 'f', value, offset: 0}, createKeyed('bad', 1, 'not marks')],
     endOffset: 2,
--- a/packages/daemon/src/gateway/endpoints/__tests__/endpoint_exchange.spec.ts
+++ b/packages/daemon/src/gateway/endpoints/__tests__/endpoint_exchange.spec.ts
@@ -3,7 +3,7 @@
 import {EndpointExchange, type ExchangeOutcome} from '../endpoint_exchange.js';
 import {
   createEntry,
-  type Ending,
+  type ConnectionEnding,
   PlainProtocol,
   startRawServer,
 } from '../../__tests__/gateway_fixtures.js';
@@ -13,7 +13,7 @@
 interface FaultCase {
   readonly name: string;
   readonly text: string;
-  readonly ending: Ending;
+  readonly ending: ConnectionEnding;
   readonly expected: ExchangeOutcome['kind'];
 }
 
--- a/packages/daemon/src/gateway/engines/__tests__/weight_task.spec.ts
+++ b/packages/daemon/src/gateway/engines/__tests__/weight_task.spec.ts
@@ -6,7 +6,7 @@
 import {silentLogger} from '../../../logger.js';
 import {createEntry} from '../../__tests__/gateway_fixtures.js';
 import {EngineFleet} from '../engine_fleet.js';
-import {WeightTask, type WeightParts} from '../weight_task.js';
+import {WeightTask, type WeightDeps} from '../weight_task.js';
 
 const MODELS = ['m0', 'm1', 'm2'];
 /** Engines begin with version 1, which no open step may use any more. */
@@ -49,8 +49,8 @@
     },
     scheduler: new BatchScheduler({tokensPerEvent: 1, runPrefix: 'vm'}),
     logger: silentLogger,
-    named: new Map(MODELS.map(model => [model, NEWEST])),
-  } as unknown as WeightParts);
+    newestVersions: new Map(MODELS.map(model => [model, NEWEST])),
+  } as unknown as WeightDeps);
   return {
     tick: () => task.tick(table, fleet.describe([spec], 0)),
     asked,
--- a/packages/daemon/src/gateway/engines/engine_fleet.ts
+++ b/packages/daemon/src/gateway/engines/engine_fleet.ts
@@ -10,7 +10,7 @@
 const MAX_LOAD_MS = 6000;
 
 interface EngineState {
-  bornMs: number;
+  startedAtMs: number;
   readonly versions: Map<string, number>;
   /** Models that load, with the steady ms at which the order was accepted. */
   readonly loading: Map<string, number>;
@@ -32,7 +32,7 @@
     for (const {name, engine} of services) {
       if (!engine) continue;
       for (const entry of this.roster.listUsable(name, nowMs)) {
-        const state = this.open(entry);
+        const state = this.openState(entry);
         views.push({
           id: entry.id,
           service: name,
@@ -47,23 +47,23 @@
   }
 
   /** Takes the versions of a list entry. */
-  noteEntry(entry: EndpointEntry): void {
-    const state = this.open(entry);
+  recordEntry(entry: EndpointEntry): void {
+    const state = this.openState(entry);
     for (const {model, version} of entry.models) {
-      this.raise(state, model, version);
+      this.raiseVersion(state, model, version);
     }
   }
 
-  noteReport(entry: EndpointEntry, report: EngineReport): void {
-    const state = this.open(entry);
+  recordReport(entry: EndpointEntry, report: EngineReport): void {
+    const state = this.openState(entry);
     state.orders = Math.max(state.orders, report.orders);
     for (const {model, version} of report.models) {
-      this.raise(state, model, version);
+      this.raiseVersion(state, model, version);
     }
   }
 
   /** An event of a run was made under `version`: nothing is more certain. */
-  noteVersion(engineId: string, model: string, version: number): void {
+  recordVersion(engineId: string, model: string, version: number): void {
     this.states.get(engineId)?.versions.set(model, version);
   }
 
@@ -72,27 +72,27 @@
    * hundred ms later; until then items are tried, and refused where it has not.
    */
   assumeLoaded(entry: EndpointEntry, model: string, version: number): void {
-    const state = this.open(entry);
-    this.raise(state, model, version);
+    const state = this.openState(entry);
+    this.raiseVersion(state, model, version);
     state.loading.delete(model);
   }
 
   /** The engine is about to load `model`, or does. */
-  noteLoading(entry: EndpointEntry, model: string, nowMs: number): void {
-    this.open(entry).loading.set(model, nowMs);
+  recordLoadStart(entry: EndpointEntry, model: string, nowMs: number): void {
+    this.openState(entry).loading.set(model, nowMs);
   }
 
   /** The engine accepted an order. */
   countOrder(entry: EndpointEntry): void {
-    this.open(entry).orders += 1;
+    this.openState(entry).orders += 1;
   }
 
-  noteLoaded(engineId: string, model: string): void {
+  recordLoadEnd(engineId: string, model: string): void {
     this.states.get(engineId)?.loading.delete(model);
   }
 
   getOrders(entry: EndpointEntry): number {
-    return this.open(entry).orders;
+    return this.openState(entry).orders;
   }
 
   getVersion(engineId: string, model: string): number {
@@ -111,16 +111,20 @@
   }
 
   /** Versions only rise: reports lag, and a restart keeps the version. */
-  private raise(state: EngineState, model: string, version: number): void {
-    const known = state.versions.get(model) ?? 0;
-    if (version > known) state.versions.set(model, version);
+  private raiseVersion(
+    state: EngineState,
+    model: string,
+    version: number,
+  ): void {
+    const current = state.versions.get(model) ?? 0;
+    if (version > current) state.versions.set(model, version);
   }
 
-  private open(entry: EndpointEntry): EngineState {
-    const known = this.states.get(entry.id);
-    if (known && known.bornMs === entry.startedAtMs) return known;
+  private openState(entry: EndpointEntry): EngineState {
+    const existing = this.states.get(entry.id);
+    if (existing && existing.startedAtMs === entry.startedAtMs) return existing;
     const state: EngineState = {
-      bornMs: entry.startedAtMs,
+      startedAtMs: entry.startedAtMs,
       versions: new Map(
         entry.models.map(({model, version}) => [model, version]),
       ),
--- a/packages/daemon/src/gateway/engines/engine_reports.ts
+++ b/packages/daemon/src/gateway/engines/engine_reports.ts
@@ -11,7 +11,7 @@
 import type {EngineFleet} from './engine_fleet.js';
 
 /** An engine answers a report within this time, ms. */
-const REPORT_MS = 400;
+const REPORT_TIMEOUT_MS = 400;
 
 export class EngineReports {
   constructor(
@@ -28,7 +28,7 @@
       ...call,
       host: entry.host,
       port: entry.port,
-      timeoutMs: REPORT_MS,
+      timeoutMs: REPORT_TIMEOUT_MS,
     });
     if (outcome.kind !== 'answered' || outcome.status !== 200) {
       if (outcome.kind === 'unknown') this.links.renew(entry.id);
@@ -44,7 +44,7 @@
     }
     // The address may belong to a later life by now.
     if (report.value.bornMs !== entry.startedAtMs) return undefined;
-    this.fleet.noteReport(entry, report.value);
+    this.fleet.recordReport(entry, report.value);
     return report.value;
   }
 }
--- a/packages/daemon/src/gateway/engines/lease_task.ts
+++ b/packages/daemon/src/gateway/engines/lease_task.ts
@@ -31,28 +31,28 @@
 };
 
 /** A renewal without an answer for this long is made again, ms: over the 320 of a slow log, and short enough for a second one within the silence. */
-const APPEND_MS = 400;
+const APPEND_TIMEOUT_MS = 400;
 /** An announced order must arrive within its window: it is begun this long before the end of it, ms, which is what an order waits for its connection and answer and a little more. */
 const ORDER_TRAVEL_MS = 200;
 /** How often the lease decides, ms. */
 const TICK_MS = 50;
 /** Long polls of the lease's partition wait this long, ms. */
-const WAIT_MS = 600;
+const LONG_POLL_MS = 600;
 /** Pause of a standby between reads, ms: it needs each renewal, but not at once. */
-const GATHER_MS = 150;
+const READ_PAUSE_MS = 150;
 const RETRY_MS = 100;
 /** Added to the time between the orders of two holders, ms: clocks of two VMs do not run quite alike. */
 const ORDER_SLACK_MS = 50;
 /** Records of the lease that are kept, as history for whoever looks into a fault. */
 const KEPT_RECORDS = 500;
 /** Renewals between two trims of the partition. */
-const TRIM_EVERY = 200;
+const RENEWALS_PER_TRIM = 200;
 
 export interface LeaseConfig {
   /** Unique for each start of this process. */
-  readonly lifeId: string;
+  readonly incarnationId: string;
   /** Added to the silence that this VM waits for before it claims, ms. */
-  readonly patienceMs: number;
+  readonly claimDelayMs: number;
   /** Between the last order of one holder and the first of the next, ms. */
   readonly orderLeaseMs: number;
   /** Whether engines refuse orders with an older token than they have seen. */
@@ -61,9 +61,9 @@
 
 export class LeaseTask {
   readonly lease: LogLease;
-  private next = 0;
+  private nextOffset = 0;
   private readonly abort = new AbortController();
-  private wasNamed = false;
+  private wasCoordinator = false;
   private isCaughtUp = false;
   /** Whether everything was read at some time in this life. */
   private wasCaughtUp = false;
@@ -71,7 +71,7 @@
   private renewals = 0;
   private contactMs = -Infinity;
   /** Orders wait until this steady time after a suspension. */
-  private thawedMs = -Infinity;
+  private resumedMs = -Infinity;
   /** Engines whose orders wait for their announcement, with what ends the wait. */
   private readonly announcements = new Map<string, () => void>();
 
@@ -80,21 +80,26 @@
     private readonly clock: VmClock,
     private readonly cfg: LeaseConfig,
     /** Whether this VM knows enough to run batches. */
-    private readonly canHold: () => boolean,
-    private readonly onChange: (isNamed: boolean) => void,
+    private readonly canCoordinate: () => boolean,
+    private readonly onChange: (isCoordinator: boolean) => void,
     private readonly logger: EventLogger,
   ) {
-    const {lifeId, patienceMs} = cfg;
-    this.lease = new LogLease(lifeId, LEASE_TIMING, patienceMs, clock.now());
+    const {incarnationId, claimDelayMs} = cfg;
+    this.lease = new LogLease(
+      incarnationId,
+      LEASE_TIMING,
+      claimDelayMs,
+      clock.now(),
+    );
   }
 
   start(): void {
     void this.follow();
-    void this.keep();
+    void this.maintain();
   }
 
   /** Whether this VM runs batches. */
-  get isNamed(): boolean {
+  get isCoordinator(): boolean {
     return this.lease.isNamedHolder() && !this.isReleased;
   }
 
@@ -116,7 +121,7 @@
     const isHolder =
       this.lease.isHeld(nowMs) &&
       !this.isReleased &&
-      nowMs - this.thawedMs > LEASE_TIMING.validityMs;
+      nowMs - this.resumedMs > LEASE_TIMING.validityMs;
     if (!isHolder) return () => false;
     const isSafe = this.lease.isHandedOver && this.cfg.isFencingEnforced;
     const waitMs = isSafe ? 0 : this.cfg.orderLeaseMs + ORDER_SLACK_MS;
@@ -125,11 +130,11 @@
 
   /** Writes down that the engine is about to be ordered; says whether the order may be given now. */
   async announceOrder(engineId: string): Promise<boolean> {
-    const told = new Promise<void>(resolve =>
+    const announced = new Promise<void>(resolve =>
       this.announcements.set(engineId, resolve),
     );
-    void this.act();
-    await Promise.race([told, sleep(APPEND_MS + TICK_MS)]);
+    void this.advance();
+    await Promise.race([announced, sleep(APPEND_TIMEOUT_MS + TICK_MS)]);
     this.announcements.delete(engineId);
     const nowMs = this.clock.now();
     return (
@@ -140,13 +145,13 @@
 
   /** Gives the lease up so that another VM takes over at once. */
   async release(): Promise<void> {
-    const wasNamed = this.isNamed;
+    const wasCoordinator = this.isCoordinator;
     this.isReleased = true;
-    this.noteChange();
-    if (!wasNamed) return;
+    this.publishChange();
+    if (!wasCoordinator) return;
     const record: LeaseRecord = {
       kind: 'release',
-      holder: this.cfg.lifeId,
+      holder: this.cfg.incarnationId,
       atMs: Date.now(),
     };
     await this.store.append(LEASE_TOPIC, PARTITION, [encodeRecord(record)]);
@@ -159,11 +164,11 @@
   private async follow(): Promise<void> {
     const {signal} = this.abort;
     while (!signal.aborted) {
-      const options = {waitMs: this.isCaughtUp ? WAIT_MS : 0, signal};
+      const options = {waitMs: this.isCaughtUp ? LONG_POLL_MS : 0, signal};
       const outcome = await this.store.read(
         LEASE_TOPIC,
         PARTITION,
-        this.next,
+        this.nextOffset,
         options,
       );
       const nowMs = this.clock.now();
@@ -176,53 +181,53 @@
       }
       this.contactMs = nowMs;
       if (outcome.kind === 'expired') {
-        this.next = outcome.firstOffset;
+        this.nextOffset = outcome.firstOffset;
         this.lease.onGap(nowMs);
         continue;
       }
-      this.takeAll(outcome.records, nowMs);
-      const isAtEnd = this.next >= outcome.endOffset;
+      this.applyRecords(outcome.records, nowMs);
+      const isAtEnd = this.nextOffset >= outcome.endOffset;
       if (isAtEnd && !this.isCaughtUp) {
         this.isCaughtUp = true;
         if (this.wasCaughtUp) this.lease.onReadSucceeded(nowMs);
-        else if (this.next > 0) this.lease.onCaughtUp(nowMs, Date.now());
+        else if (this.nextOffset > 0) this.lease.onCaughtUp(nowMs, Date.now());
         this.wasCaughtUp = true;
       }
-      if (isAtEnd) await sleep(GATHER_MS);
+      if (isAtEnd) await sleep(READ_PAUSE_MS);
     }
   }
 
-  private takeAll(records: readonly StoredRecord[], nowMs: number): void {
+  private applyRecords(records: readonly StoredRecord[], nowMs: number): void {
     for (const {offset, bytes} of records) {
-      if (offset < this.next) continue;
-      this.next = offset + 1;
+      if (offset < this.nextOffset) continue;
+      this.nextOffset = offset + 1;
       this.lease.observe(decodeLeaseRecord(bytes), offset, nowMs);
     }
-    this.noteChange();
+    this.publishChange();
   }
 
-  private async keep(): Promise<void> {
+  private async maintain(): Promise<void> {
     const {signal} = this.abort;
     while (!signal.aborted) {
       await sleep(TICK_MS);
-      await this.act();
+      await this.advance();
     }
   }
 
   /** Appends what the lease asks for now. */
-  private async act(): Promise<void> {
+  private async advance(): Promise<void> {
     const nowMs = this.clock.now();
     this.checkSuspension(nowMs);
     if (this.isReleased) return;
     if (!this.isCaughtUp && !this.lease.isNamedHolder()) return;
     const engines = [...this.announcements.keys()];
-    const mayClaim = this.canHold();
+    const mayClaim = this.canCoordinate();
     const action = this.lease.decide(nowMs, Date.now(), {mayClaim, engines});
     if (action.kind !== 'append') return;
     await this.append(action.record, action.at);
     this.settleAnnouncements(action.record.engines ?? []);
     // Orders that came up while a renewal was under way do not wait for a tick.
-    if (this.announcements.size > 0) await this.act();
+    if (this.announcements.size > 0) await this.advance();
   }
 
   /** Those who wait look for themselves whether their order may be given. */
@@ -239,18 +244,18 @@
       LEASE_TOPIC,
       PARTITION,
       [encodeRecord(record)],
-      {at, timeoutMs: APPEND_MS},
+      {at, timeoutMs: APPEND_TIMEOUT_MS},
     );
     if (outcome.kind !== 'appended') {
       this.lease.onAppendFailed();
       return;
     }
     this.contactMs = this.clock.now();
-    this.next = Math.max(this.next, outcome.offset + 1);
+    this.nextOffset = Math.max(this.nextOffset, outcome.offset + 1);
     this.lease.onAppended(record, outcome.offset, this.contactMs);
-    this.noteChange();
+    this.publishChange();
     this.renewals += 1;
-    if (this.renewals % TRIM_EVERY === 0) this.trim(outcome.offset);
+    if (this.renewals % RENEWALS_PER_TRIM === 0) this.trim(outcome.offset);
   }
 
   private trim(offset: number): void {
@@ -261,25 +266,25 @@
   private checkSuspension(nowMs: number): void {
     const suspendedMs = this.clock.takeSuspensionMs();
     if (suspendedMs === 0) return;
-    this.thawedMs = nowMs;
+    this.resumedMs = nowMs;
     this.lease.invalidate();
     this.logger.log('warn', 'the VM was suspended or its clock was set', {
       driftMs: Math.round(suspendedMs),
     });
   }
 
-  private noteChange(): void {
-    const {isNamed} = this;
-    if (isNamed === this.wasNamed) return;
-    this.wasNamed = isNamed;
+  private publishChange(): void {
+    const {isCoordinator} = this;
+    if (isCoordinator === this.wasCoordinator) return;
+    this.wasCoordinator = isCoordinator;
     this.logger.log(
       'info',
-      isNamed ? 'coordinator now' : 'coordinator no more',
+      isCoordinator ? 'coordinator now' : 'coordinator no more',
       {
         fencingToken: this.lease.fencingToken,
         holder: this.lease.currentHolder,
       },
     );
-    this.onChange(isNamed);
+    this.onChange(isCoordinator);
   }
 }
--- a/packages/daemon/src/gateway/engines/weight_task.ts
+++ b/packages/daemon/src/gateway/engines/weight_task.ts
@@ -35,7 +35,7 @@
 import type {GatewayMetrics} from '../gateway_metrics.js';
 import type {LeaseTask} from './lease_task.js';
 
-export interface WeightParts {
+export interface WeightDeps {
   readonly lease: LeaseTask;
   readonly roster: EndpointRoster;
   readonly fleet: EngineFleet;
@@ -44,7 +44,7 @@
   readonly protocol: EndpointProtocol;
   readonly scheduler: BatchScheduler;
   /** Newest versions that trainers named. */
-  readonly named: ReadonlyMap<string, number>;
+  readonly newestVersions: ReadonlyMap<string, number>;
   readonly metrics: GatewayMetrics;
   readonly vmName: string;
   readonly logger: EventLogger;
@@ -61,7 +61,7 @@
 }
 
 /** What all engines are judged by at one moment. */
-interface Moment {
+interface FleetSnapshot {
   /** Steady ms. */
   readonly nowMs: number;
   /** Engines that are much slower than the others. */
@@ -77,34 +77,34 @@
 /** Runs that a model brings to an engine with its newest version. */
 const RUNS_PER_MODEL = 8;
 /** An engine answers an order in a few ms; without an answer the same order is sent again, which is void if the first was accepted. */
-const ORDER_MS = 150;
+const ORDER_TIMEOUT_MS = 150;
 /** Reports tell of the end of a load about this much late, ms. */
-const REPORT_BEHIND_MS = 250;
+const REPORT_DELAY_MS = 250;
 /** Pause between looks at the end of a load, ms. */
-const LOOK_MS = 150;
+const POLL_PAUSE_MS = 150;
 /** A look that takes longer than this, its pause included, says nothing of the length of a load, ms. */
-const MAX_LOOK_MS = 2 * LOOK_MS;
+const MAX_POLL_MS = 2 * POLL_PAUSE_MS;
 /** After this many looks a report that shows no load and no new version is believed: it has caught up. */
-const SETTLED_LOOKS = 4;
+const SETTLED_POLLS = 4;
 /** Looks until a load is given up and begun anew. */
-const MAX_LOOKS = 24;
+const MAX_POLLS = 24;
 /** Reports lag by some hundred ms, so an order in conflict with another is judged this long after it, ms. */
 const REPORT_LAG_MS = 450;
 /** Orders to one engine that may go wrong in a row before it is left alone for a while. */
 const MAX_TRIES = 6;
 /** Pause after that, ms. */
-const REST_MS = 1500;
+const FAILED_ENGINE_PAUSE_MS = 1500;
 
 export class WeightTask {
   /** Loads that go on, by engine. */
-  private readonly working = new Map<string, LoadTarget>();
-  private readonly restUntilMs = new Map<string, number>();
+  private readonly activeLoads = new Map<string, LoadTarget>();
+  private readonly pausedUntilMs = new Map<string, number>();
   private isStopped = false;
   private readonly pace = new LoadLimiter();
   /** Engines that may load at once, by service. */
   private readonly limits = new Map<string, number>();
 
-  constructor(private readonly parts: WeightParts) {}
+  constructor(private readonly deps: WeightDeps) {}
 
   stop(): void {
     this.isStopped = true;
@@ -116,7 +116,7 @@
     for (const service of table.engines) {
       const views = engines.filter(view => view.service === service.name);
       const limit = this.limitLoads(service.name, views.length);
-      if (this.working.size >= limit) continue;
+      if (this.activeLoads.size >= limit) continue;
       for (const plan of rankModels(this.planModels(service, views))) {
         this.startLoads(plan, table, limit);
       }
@@ -129,7 +129,7 @@
       this.limits.set(service, limit);
       const expectedMs = Math.round(this.pace.expectedMs);
       const fields = {service, engines, limit, expectedMs};
-      this.parts.logger.log('info', 'loads at once', fields);
+      this.deps.logger.log('info', 'loads at once', fields);
     }
     return limit;
   }
@@ -140,22 +140,22 @@
   ): readonly ModelPlan[] {
     const {models} = service.engine!;
     const share = computeShare(views.length, models.length, MIN_ENGINES);
-    const moment = this.look();
+    const snapshot = this.takeSnapshot();
     return models.flatMap(model => {
-      const newest = this.parts.named.get(model);
+      const newest = this.deps.newestVersions.get(model);
       if (newest === undefined) return [];
       const need = {
         newest,
         share,
-        ...this.parts.scheduler.measureNeed(model),
+        ...this.deps.scheduler.measureNeed(model),
       };
-      const candidates = this.listCandidates(model, service, views, moment);
+      const candidates = this.listCandidates(model, service, views, snapshot);
       return [{model, candidates, need}];
     });
   }
 
-  private look(): Moment {
-    const {scheduler, lease} = this.parts;
+  private takeSnapshot(): FleetSnapshot {
+    const {scheduler, lease} = this.deps;
     const nowMs = performance.now();
     return {
       nowMs,
@@ -169,11 +169,11 @@
     table: RouteTable,
     limit: number,
   ): void {
-    const {roster} = this.parts;
-    const maxMore = limit - this.working.size;
+    const {roster} = this.deps;
+    const maxMore = limit - this.activeLoads.size;
     // What was just started for another model is out of reach.
     const open = candidates.map(candidate =>
-      !candidate.isBusy && this.working.has(candidate.id)
+      !candidate.isBusy && this.activeLoads.has(candidate.id)
         ? {...candidate, isBusy: true}
         : candidate,
     );
@@ -195,16 +195,16 @@
     model: string,
     service: ServiceSpec,
     views: readonly EngineView[],
-    {nowMs, slow, mayOrder}: Moment,
+    {nowMs, slow, mayOrder}: FleetSnapshot,
   ): readonly LoadCandidate[] {
-    const {scheduler} = this.parts;
+    const {scheduler} = this.deps;
     const {speeds} = scheduler.engineHealth;
     return views
-      .filter(({id}) => nowMs >= (this.restUntilMs.get(id) ?? 0))
+      .filter(({id}) => nowMs >= (this.pausedUntilMs.get(id) ?? 0))
       .map(({id, slots, versions}) => {
-        const target = this.working.get(id);
+        const target = this.activeLoads.get(id);
         const running = scheduler.countRuns(id);
-        const expected = this.countOthers(model, service, versions);
+        const expected = this.countOtherModels(model, service, versions);
         return {
           id,
           version: versions.get(model) ?? 0,
@@ -223,28 +223,30 @@
   }
 
   /** Other models whose newest version an engine has: their runs will come there. */
-  private countOthers(
+  private countOtherModels(
     model: string,
     service: ServiceSpec,
     versions: ReadonlyMap<string, number>,
   ): number {
-    const {named} = this.parts;
+    const {newestVersions} = this.deps;
     return service.engine!.models.filter(other => {
       if (other === model) return false;
-      return (versions.get(other) ?? 0) >= (named.get(other) ?? Infinity);
+      return (
+        (versions.get(other) ?? 0) >= (newestVersions.get(other) ?? Infinity)
+      );
     }).length;
   }
 
   private async load(target: LoadTarget): Promise<void> {
     const {entry, model} = target;
-    this.working.set(entry.id, target);
+    this.activeLoads.set(entry.id, target);
     // Before the order: what runs there moves away first.
-    this.parts.fleet.noteLoading(entry, model, performance.now());
+    this.deps.fleet.recordLoadStart(entry, model, performance.now());
     try {
       await this.loadUntilDone(target);
     } finally {
-      this.working.delete(entry.id);
-      this.parts.fleet.noteLoaded(entry.id, model);
+      this.activeLoads.delete(entry.id);
+      this.deps.fleet.recordLoadEnd(entry.id, model);
     }
   }
 
@@ -254,16 +256,19 @@
       if (step === 'over') return;
       if (step === 'hopeless') break;
     }
-    this.restUntilMs.set(target.entry.id, performance.now() + REST_MS);
+    this.pausedUntilMs.set(
+      target.entry.id,
+      performance.now() + FAILED_ENGINE_PAUSE_MS,
+    );
   }
 
   /** One look at the engine, and one order if it is due. */
   private async tryLoad(target: LoadTarget): Promise<LoadStep> {
     const {entry, model, version} = target;
-    const report = await this.parts.reports.fetch(entry);
+    const report = await this.deps.reports.fetch(entry);
     if (this.isOutOfDate(entry)) return 'over';
     if (!report) {
-      await sleep(LOOK_MS);
+      await sleep(POLL_PAUSE_MS);
       return 'again';
     }
     if (hasVersion(report, model, version)) return 'over';
@@ -273,22 +278,22 @@
       await sleep(REPORT_LAG_MS);
       return 'again';
     }
-    if (!(await this.parts.lease.announceOrder(entry.id))) return 'over';
-    return this.judgeAnswer(target, await this.order(target));
+    if (!(await this.deps.lease.announceOrder(entry.id))) return 'over';
+    return this.handleAnswer(target, await this.order(target));
   }
 
-  private async judgeAnswer(
+  private async handleAnswer(
     target: LoadTarget,
     answer: OrderAnswer | 'none',
   ): Promise<LoadStep> {
-    const {lease, fleet} = this.parts;
+    const {lease, fleet} = this.deps;
     const {entry, model, version} = target;
     switch (answer) {
       case 'accepted':
         fleet.countOrder(entry);
         return this.watchLoad(target);
       case 'holds_already':
-        fleet.noteVersion(entry.id, model, version);
+        fleet.recordVersion(entry.id, model, version);
         return 'over';
       case 'fenced':
         lease.lease.invalidate();
@@ -310,29 +315,29 @@
    * idle for a third of the time that the load took.
    */
   private async watchLoad(target: LoadTarget): Promise<LoadStep> {
-    const {fleet} = this.parts;
+    const {fleet} = this.deps;
     const {entry, model, version} = target;
     const startedMs = performance.now();
     await sleep(this.pace.expectedMs);
     if (this.isOutOfDate(entry)) return 'over';
     fleet.assumeLoaded(entry, model, version);
-    let lookedMs = 0;
-    for (let looks = 0; looks < MAX_LOOKS; looks++) {
-      lookedMs = performance.now();
-      await sleep(LOOK_MS);
+    let pollStartedMs = 0;
+    for (let polls = 0; polls < MAX_POLLS; polls++) {
+      pollStartedMs = performance.now();
+      await sleep(POLL_PAUSE_MS);
       if (this.isOutOfDate(entry)) return 'over';
-      const report = await this.parts.reports.fetch(entry);
+      const report = await this.deps.reports.fetch(entry);
       if (!report) continue;
       if (hasVersion(report, model, version)) {
-        this.learnLoad(target, startedMs, lookedMs);
+        this.recordLoadTime(target, startedMs, pollStartedMs);
         return 'over';
       }
-      if (!report.isBusy && looks >= SETTLED_LOOKS) {
-        fleet.noteVersion(entry.id, model, findVersion(report, model));
+      if (!report.isBusy && polls >= SETTLED_POLLS) {
+        fleet.recordVersion(entry.id, model, findVersion(report, model));
         return 'again';
       }
     }
-    this.learnLoad(target, startedMs, lookedMs);
+    this.recordLoadTime(target, startedMs, pollStartedMs);
     return 'again';
   }
 
@@ -340,27 +345,29 @@
    * A look that itself took long, as on a busy VM, does not tell when the load
    * ended, and an order that got no answer not when it began.
    */
-  private learnLoad(
+  private recordLoadTime(
     {entry, isUnanswered}: LoadTarget,
     startedMs: number,
-    lookedMs: number,
+    pollStartedMs: number,
   ): void {
     const nowMs = performance.now();
-    if (isUnanswered || nowMs - lookedMs > MAX_LOOK_MS) return;
-    const endedMs = nowMs - REPORT_BEHIND_MS;
+    if (isUnanswered || nowMs - pollStartedMs > MAX_POLL_MS) return;
+    const endedMs = nowMs - REPORT_DELAY_MS;
     const limit = this.limits.get(entry.service) ?? 0;
-    const isFull = this.working.size >= limit;
+    const isFull = this.activeLoads.size >= limit;
     this.pace.recordLoad({startedMs, endedMs}, limit, isFull);
   }
 
   private isOutOfDate(entry: EndpointEntry): boolean {
-    const now = this.parts.roster.get(entry.id);
-    return this.isStopped || !now || now.startedAtMs !== entry.startedAtMs;
+    const current = this.deps.roster.get(entry.id);
+    return (
+      this.isStopped || !current || current.startedAtMs !== entry.startedAtMs
+    );
   }
 
   private async order(target: LoadTarget): Promise<OrderAnswer | 'none'> {
     const {entry, model, version, mode} = target;
-    const {protocol, links, lease, fleet, vmName, logger} = this.parts;
+    const {protocol, links, lease, fleet, vmName, logger} = this.deps;
     const {fencingToken} = lease.lease;
     const expectedOrders = fleet.getOrders(entry);
     const call = protocol.orderCall({
@@ -376,13 +383,13 @@
       ...call,
       host: entry.host,
       port: entry.port,
-      timeoutMs: ORDER_MS,
+      timeoutMs: ORDER_TIMEOUT_MS,
     });
     const answer =
       outcome.kind === 'answered'
         ? protocol.judgeOrder(outcome.status)
         : 'none';
-    this.parts.metrics.count(`order_${answer}`);
+    this.deps.metrics.count(`order_${answer}`);
     logger.log('info', 'order to an engine', {
       endpoint: entry.id,
       model,
--- a/packages/daemon/src/gateway/gateway.ts
+++ b/packages/daemon/src/gateway/gateway.ts
@@ -11,7 +11,7 @@
 import {listenAt} from '@radishyoke/wire/listen';
 import type {EventLogger} from '../logger.js';
 import {BatchApi} from './batches/batch_api.js';
-import {BatchShelf} from './batches/batch_book.js';
+import {IndexReplicas} from './batches/index_replica.js';
 import {BatchRunner} from './batches/batch_runner.js';
 import type {CallerProtocol} from './requests/caller_protocol.js';
 import {ConfigHolder} from './store/config_holder.js';
@@ -38,7 +38,7 @@
 export interface GatewayConfig {
   readonly vmName: string;
   /** Unique for each start of a process. */
-  readonly lifeId: string;
+  readonly incarnationId: string;
   readonly dataCentre: string;
   /** `ip:port` for callers. */
   readonly frontAddress: string;
@@ -55,14 +55,14 @@
   /** Time between a request to stop and the end, ms. */
   readonly graceMs: number;
   /** Added to the silence after which this VM claims the lease, ms. */
-  readonly patienceMs: number;
+  readonly claimDelayMs: number;
   /** A key is served at most so long after it was last known to hold, ms; without a bound where undefined. */
   readonly maxKeyAgeMs?: number;
   /** Present where usage is to be reported. */
   readonly usage?: UsageTerms;
 }
 
-export interface GatewayParts {
+export interface GatewayDeps {
   readonly store: LogStore;
   readonly directory: PlatformDirectory;
   readonly callers: CallerProtocol;
@@ -81,10 +81,10 @@
 /** An endpoint whose entry vanished is used this much longer, ms; endpoints serve on for 2 s at least, and an entry that was lost with its store is back as soon. */
 const GONE_GRACE_MS = 1200;
 /** Without a word from the log for this long the VM asks the balancer to leave it out, ms; below this every slow answer would do so. */
-const OUT_OF_TOUCH_MS = 1800;
+const MAX_LOG_SILENCE_MS = 1800;
 const SWEEP_MS = 500;
 /** The balancer asks once a second and needs two refusals: after this long no new connection comes, ms. */
-const UNROUTED_MS = 3200;
+const BALANCER_REMOVAL_MS = 3200;
 /** Kept of the grace period for the last answers to travel, ms. */
 const GRACE_SLACK_MS = 600;
 
@@ -96,9 +96,9 @@
   private readonly rosterLog: RosterLog;
   private readonly links = new EndpointLinks();
   private readonly view = new EndpointView();
-  private readonly named = new Map<string, number>();
+  private readonly newestVersions = new Map<string, number>();
   private readonly config: ConfigHolder;
-  private readonly shelf: BatchShelf;
+  private readonly replicas: IndexReplicas;
   private readonly lease: LeaseTask;
   private readonly front: FrontServer;
   private readonly readiness: http.Server;
@@ -120,20 +120,20 @@
 
   constructor(
     private readonly cfg: GatewayConfig,
-    private readonly parts: GatewayParts,
+    private readonly deps: GatewayDeps,
   ) {
-    const {directory, callers, endpoints, logger} = parts;
-    const store = new MeteredStore(parts.store, this.metrics);
+    const {directory, callers, endpoints, logger} = deps;
+    const store = new MeteredStore(deps.store, this.metrics);
     this.store = store;
     this.rosterLog = new RosterLog(logger);
     this.config = new ConfigHolder(logger, cfg.maxKeyAgeMs);
-    this.shelf = new BatchShelf(store, logger);
+    this.replicas = new IndexReplicas(store, logger);
     this.lease = new LeaseTask(
       store,
       this.clock,
       cfg,
-      () => this.knowsDeployment,
-      isNamed => this.noteLease(isNamed),
+      () => this.hasDeployment,
+      isNamed => this.onLeaseChange(isNamed),
       logger,
     );
     const book = new CrashRegistry(Math.random());
@@ -150,7 +150,7 @@
       metrics: this.metrics,
       logger,
     });
-    this.metrics.observe('crash_suspects', () => book.size);
+    this.metrics.registerGauge('crash_suspects', () => book.size);
     this.meter = cfg.usage && new UsageMeter(store, cfg, cfg.usage.windowMs);
     const forwarder = new Forwarder({
       roster: this.roster,
@@ -165,7 +165,7 @@
     });
     const batches = new BatchApi({
       store,
-      shelf: this.shelf,
+      replicas: this.replicas,
       protocol: callers,
       config: this.config,
       metrics: this.metrics,
@@ -190,7 +190,7 @@
     const configFeed = this.createFeed(
       directory.configTopic,
       CONFIG_GATHER_MS,
-      record => this.takeConfigRecord(record),
+      record => this.applyConfigRecord(record),
     );
     this.config.attach(configFeed);
     this.feeds = [
@@ -198,7 +198,7 @@
       this.createFeed(
         directory.endpointTopic,
         ROSTER_GATHER_MS,
-        record => this.takeEndpointRecord(record),
+        record => this.applyEndpointRecord(record),
         () => (this.isRosterKnown = true),
       ),
     ];
@@ -206,13 +206,18 @@
       this.front.applyLimits();
       this.runner?.applyConfig(table);
     });
-    this.metrics.observe('config_version', () => this.config.version);
-    this.metrics.observe('endpoints', () => this.roster.size);
-    this.metrics.observe('coordinator', () => Number(this.lease.isNamed));
-    this.metrics.observe('log_silent_ms', () =>
+    this.metrics.registerGauge('config_version', () => this.config.version);
+    this.metrics.registerGauge('endpoints', () => this.roster.size);
+    this.metrics.registerGauge('coordinator', () =>
+      Number(this.lease.isCoordinator),
+    );
+    this.metrics.registerGauge('log_silent_ms', () =>
       Math.round(this.clock.now() - this.contactMs),
     );
-    this.metrics.observe('batches_open', () => this.runner?.openCount ?? 0);
+    this.metrics.registerGauge(
+      'batches_open',
+      () => this.runner?.openCount ?? 0,
+    );
   }
 
   /** Opens the listeners and starts to follow the log, unless asked to stop meanwhile. */
@@ -222,7 +227,7 @@
   }
 
   private async open(): Promise<void> {
-    const {cfg, parts} = this;
+    const {cfg, deps} = this;
     if (this.isStopping) return;
     await listenAt(this.readiness, cfg.readyAddress);
     if (cfg.metricsAddress) {
@@ -235,22 +240,22 @@
     this.lease.start();
     this.sweepTimer = setInterval(() => this.sweep(), SWEEP_MS);
     this.isServing = true;
-    parts.logger.log('info', 'started', {
+    deps.logger.log('info', 'started', {
       vm: cfg.vmName,
-      life: cfg.lifeId,
+      life: cfg.incarnationId,
       front: cfg.frontAddress,
     });
   }
 
   /** Whether configuration and endpoints have been read. */
-  private get knowsDeployment(): boolean {
+  private get hasDeployment(): boolean {
     return this.config.table !== undefined && this.isRosterKnown;
   }
 
   /** Whether the balancer should send callers here. */
   get isReady(): boolean {
-    if (this.isStopping || !this.knowsDeployment) return false;
-    return this.clock.now() - this.lastContactMs < OUT_OF_TOUCH_MS;
+    if (this.isStopping || !this.hasDeployment) return false;
+    return this.clock.now() - this.lastContactMs < MAX_LOG_SILENCE_MS;
   }
 
   /**
@@ -261,7 +266,7 @@
   stop(): Promise<void> {
     if (this.ending) {
       const {vmName: vm} = this.cfg;
-      this.parts.logger.log('info', 'asked again to stop', {vm});
+      this.deps.logger.log('info', 'asked again to stop', {vm});
       return this.ending;
     }
     this.isStopping = true;
@@ -270,7 +275,7 @@
   }
 
   private async end(): Promise<void> {
-    const {logger} = this.parts;
+    const {logger} = this.deps;
     logger.log('info', 'stopping', {vm: this.cfg.vmName});
     if (this.isServing) await this.drain();
     // A start that is under way gives up once its listeners are open.
@@ -283,9 +288,9 @@
   private async drain(): Promise<void> {
     const endMs = this.clock.now() + this.cfg.graceMs - GRACE_SLACK_MS;
     this.front.startDrain();
-    this.stopHolding();
+    this.stopCoordinating();
     await this.lease.release();
-    await sleep(UNROUTED_MS);
+    await sleep(BALANCER_REMOVAL_MS);
     const leftMs = Math.max(endMs - this.clock.now(), 0);
     await Promise.race([this.finishRequests(), sleep(leftMs)]);
   }
@@ -305,7 +310,7 @@
     this.metricsServer.close();
     this.links.close();
     this.meter?.stop();
-    this.parts.control?.close();
+    this.deps.control?.close();
     this.store.close();
   }
 
@@ -328,12 +333,12 @@
       onRead: () => this.rosterLog.flush(),
       onLost: () => undefined,
     };
-    return new KeyedFeed(this.store, cfg, events, this.parts.logger);
+    return new KeyedFeed(this.store, cfg, events, this.deps.logger);
   }
 
-  private takeConfigRecord({key, value, offset}: KeyedRecord): void {
+  private applyConfigRecord({key, value, offset}: KeyedRecord): void {
     if (value === undefined) return;
-    const decoded = this.parts.directory.decodeConfigRecord(key, value);
+    const decoded = this.deps.directory.decodeConfigRecord(key, value);
     if (!decoded.ok) {
       this.logSkipped(key, offset, decoded.error.detail);
       return;
@@ -343,20 +348,20 @@
         this.config.offer(decoded.value.cfg);
         return;
       case 'model_version':
-        this.noteModelVersion(decoded.value.model, decoded.value.version);
+        this.recordModelVersion(decoded.value.model, decoded.value.version);
         return;
       case 'other':
         return;
     }
   }
 
-  private noteModelVersion(model: string, version: number): void {
-    if (version <= (this.named.get(model) ?? 0)) return;
-    this.named.set(model, version);
-    this.parts.logger.log('info', 'weights named', {model, version});
+  private recordModelVersion(model: string, version: number): void {
+    if (version <= (this.newestVersions.get(model) ?? 0)) return;
+    this.newestVersions.set(model, version);
+    this.deps.logger.log('info', 'weights named', {model, version});
   }
 
-  private takeEndpointRecord({key, value, offset}: KeyedRecord): void {
+  private applyEndpointRecord({key, value, offset}: KeyedRecord): void {
     const nowMs = this.clock.now();
     if (value === undefined) {
       const change = this.roster.remove(key, offset, nowMs);
@@ -366,7 +371,7 @@
       }
       return;
     }
-    const decoded = this.parts.directory.decodeEndpoint(key, value);
+    const decoded = this.deps.directory.decodeEndpoint(key, value);
     if (!decoded.ok) {
       this.logSkipped(key, offset, decoded.error.detail);
       return;
@@ -376,7 +381,7 @@
       this.crashes.noteGone(entry);
       this.forget(entry);
     }
-    if (kind !== 'stale') this.runner?.noteEndpoint(entry.id);
+    if (kind !== 'stale') this.runner?.onEndpointChange(entry.id);
     this.rosterLog.note(kind, entry, offset);
   }
 
@@ -393,38 +398,38 @@
     this.runner?.forgetEndpoint(entry.id);
   }
 
-  private noteLease(isNamed: boolean): void {
-    this.stopHolding();
-    if (!isNamed || this.isStopping) return;
+  private onLeaseChange(isCoordinator: boolean): void {
+    this.stopCoordinating();
+    if (!isCoordinator || this.isStopping) return;
     this.startUsageTask();
     const runner = new BatchRunner({
       store: this.store,
-      shelf: this.shelf,
+      replicas: this.replicas,
       lease: this.lease,
       roster: this.roster,
       links: this.links,
-      protocol: this.parts.endpoints,
+      protocol: this.deps.endpoints,
       config: this.config,
-      named: this.named,
+      newestVersions: this.newestVersions,
       clock: this.clock,
       metrics: this.metrics,
-      vmName: this.cfg.lifeId,
-      termId: `${this.cfg.lifeId}.${this.nextTerm++}`,
+      vmName: this.cfg.incarnationId,
+      termId: `${this.cfg.incarnationId}.${this.nextTerm++}`,
       view: this.view,
       dataCentre: this.cfg.dataCentre,
       crashes: this.crashes,
-      logger: this.parts.logger,
+      logger: this.deps.logger,
     });
     this.runner = runner;
     void runner.start();
   }
 
   private startUsageTask(): void {
-    const {cfg, parts, lease} = this;
-    if (!cfg.usage || !parts.control) return;
+    const {cfg, deps, lease} = this;
+    if (!cfg.usage || !deps.control) return;
     this.usageTask = new UsageTask({
       store: this.store,
-      api: parts.control,
+      api: deps.control,
       lease: {
         get fencingToken() {
           return lease.lease.fencingToken;
@@ -434,14 +439,14 @@
       vmName: cfg.vmName,
       terms: cfg.usage,
       metrics: this.metrics,
-      logger: parts.logger,
+      logger: deps.logger,
       now: () => Date.now(),
     });
     this.usageTask.start();
   }
 
   /** Ends what only the coordinator does. */
-  private stopHolding(): void {
+  private stopCoordinating(): void {
     this.runner?.stop();
     this.runner = undefined;
     this.usageTask?.stop();
@@ -453,14 +458,14 @@
     res: http.ServerResponse,
   ): void {
     req.resume();
-    const isAsked = req.url === this.cfg.readyPath;
-    res.writeHead(isAsked ? (this.isReady ? 200 : 503) : 404, {
+    const isReadyPath = req.url === this.cfg.readyPath;
+    res.writeHead(isReadyPath ? (this.isReady ? 200 : 503) : 404, {
       'Content-Length': 0,
     });
     res.end();
   }
 
   private logSkipped(key: string, offset: number, detail: string): void {
-    this.parts.logger.log('warn', 'record skipped', {key, offset, detail});
+    this.deps.logger.log('warn', 'record skipped', {key, offset, detail});
   }
 }
--- a/packages/daemon/src/gateway/gateway_metrics.ts
+++ b/packages/daemon/src/gateway/gateway_metrics.ts
@@ -26,7 +26,7 @@
 }
 
 /** Latencies up to here are told apart; a route's own time limit is far below. */
-const LONGEST_LATENCY_MS = 60_000;
+const MAX_LATENCY_MS = 60_000;
 /** Significant digits kept: 1 in 100 is finer than any threshold on them. */
 const LATENCY_DIGITS = 2;
 const QUANTILES: readonly number[] = [50, 90, 99];
@@ -39,7 +39,7 @@
   private readonly gauges = new Map<string, () => number>();
 
   /** Counts one thing of a family that ended as `result` after `tookMs`. */
-  noteResult(
+  recordResult(
     family: ResultFamily,
     name: string,
     result: string,
@@ -56,7 +56,7 @@
   }
 
   /** Shows what `read` returns whenever the metrics are asked for. */
-  observe(name: string, read: () => number): void {
+  registerGauge(name: string, read: () => number): void {
     this.gauges.set(name, read);
   }
 
@@ -78,17 +78,13 @@
     name: string,
   ): ResultStats | undefined {
     const key = `${family} ${name}`;
-    const known = this.stats.get(key);
-    if (known) return known;
+    const existing = this.stats.get(key);
+    if (existing) return existing;
     if (this.stats.size >= MAX_SERIES) {
       this.count('series_dropped');
       return undefined;
     }
-    const latency = new histograms.default(
-      1,
-      LONGEST_LATENCY_MS,
-      LATENCY_DIGITS,
-    );
+    const latency = new histograms.default(1, MAX_LATENCY_MS, LATENCY_DIGITS);
     latency.autoResize = true;
     const stats = {family, name, results: new Map<string, number>(), latency};
     this.stats.set(key, stats);
--- a/packages/daemon/src/gateway/log_sink.ts
+++ b/packages/daemon/src/gateway/log_sink.ts
@@ -10,13 +10,13 @@
 /** Lines that wait may hold this many characters; about a second at the heaviest load seen. */
 const MAX_WAITING_CHARS = 512 * 1024;
 /** Lines are gathered this long before one write, ms; a write costs as much as ten lines. */
-const GATHER_MS = 100;
+const BUFFER_MS = 100;
 
 export class LogSink {
   private waiting: string[] = [];
-  private chars = 0;
+  private waitingChars = 0;
   private dropped = 0;
-  private report: ((dropped: number) => void) | undefined;
+  private dropReporter: ((dropped: number) => void) | undefined;
   private timer: NodeJS.Timeout | undefined;
   /** The write under way. */
   private writing: Promise<void> | undefined;
@@ -25,12 +25,12 @@
   constructor(private readonly fd: number) {}
 
   readonly write = (line: string): void => {
-    if (this.chars + line.length > MAX_WAITING_CHARS) {
+    if (this.waitingChars + line.length > MAX_WAITING_CHARS) {
       this.dropped += 1;
       return;
     }
     this.waiting.push(line);
-    this.chars += line.length + 1;
+    this.waitingChars += line.length + 1;
     this.schedule();
   };
 
@@ -39,8 +39,8 @@
    * other, with VM and time. A count without them could not be put beside the
    * lines of other VMs, nor be told apart from theirs.
    */
-  reportDroppedBy(report: (dropped: number) => void): void {
-    this.report = report;
+  setDropReporter(report: (dropped: number) => void): void {
+    this.dropReporter = report;
   }
 
   /** Writes what waits; resolves when all of it is written. */
@@ -55,7 +55,7 @@
   private writeWaiting(): Promise<void> {
     const text = Buffer.from(`${this.waiting.join('\n')}\n`);
     this.waiting = [];
-    this.chars = 0;
+    this.waitingChars = 0;
     // Now there is room for the line about it.
     this.reportDropped();
     this.writing = new Promise(resolve => this.writeAll(text, resolve));
@@ -67,7 +67,7 @@
       this.timer = undefined;
       // What comes during a write is gathered anew when it is done.
       if (!this.writing && this.waiting.length > 0) void this.writeWaiting();
-    }, GATHER_MS);
+    }, BUFFER_MS);
   }
 
   private writeAll(bytes: Buffer, resolve: () => void): void {
@@ -77,7 +77,7 @@
       const isRetryable = err?.code === 'EAGAIN';
       const left = err ? bytes : bytes.subarray(written);
       if (left.length > 0 && (!err || isRetryable)) {
-        setTimeout(() => this.writeAll(left, resolve), err ? GATHER_MS : 0);
+        setTimeout(() => this.writeAll(left, resolve), err ? BUFFER_MS : 0);
         return;
       }
       this.writing = undefined;
@@ -88,8 +88,8 @@
 
   private reportDropped(): void {
     const {dropped} = this;
-    if (dropped === 0 || !this.report) return;
+    if (dropped === 0 || !this.dropReporter) return;
     this.dropped = 0;
-    this.report(dropped);
+    this.dropReporter(dropped);
   }
 }
--- a/packages/daemon/src/gateway/requests/front_server.ts
+++ b/packages/daemon/src/gateway/requests/front_server.ts
@@ -325,9 +325,9 @@
   ): void {
     const {metrics, logger} = this.parts;
     const account = caller.kind === 'account' ? caller.name : undefined;
-    metrics.noteResult('requests', route.name, result, tookMs);
+    metrics.recordResult('requests', route.name, result, tookMs);
     if (account !== undefined) {
-      metrics.noteResult('accounts', account, result, tookMs);
+      metrics.recordResult('accounts', account, result, tookMs);
     }
     logger.log('info', 'request', {
       requestId: attemptId,
--- a/packages/daemon/src/gateway/store/__tests__/keyed_feed.spec.ts
+++ b/packages/daemon/src/gateway/store/__tests__/keyed_feed.spec.ts
@@ -49,7 +49,7 @@
 
 test('the newest records come first, then what follows them', async t => {
   const store = new MemoryStore();
-  store.newest.push(createPage([createKeyed('a', 3, 'x')], 4));
+  store.newestReads.push(createPage([createKeyed('a', 3, 'x')], 4));
   store.keyedReads.push(createPage([createKeyed('a', 4, 'y')], 5));
   t.deepEqual(await follow(store, 'a=y@4'), ['a=x@3', 'caught up', 'a=y@4']);
 });
@@ -60,7 +60,7 @@
 // Cause: reading anew tells what is there, not what went.
 test('keys that are missing after history was dropped are removed', async t => {
   const store = new MemoryStore();
-  store.newest.push(
+  store.newestReads.push(
     createPage([createKeyed('a', 3, 'x'), createKeyed('b', 4, 'x')], 5),
     createPage([createKeyed('b', 4, 'x')], 50),
   );
@@ -78,7 +78,7 @@
 // 2. That read lags behind and ends at 40.
 test('newest records that are older than what was read are not taken', async t => {
   const store = new MemoryStore();
-  store.newest.push(
+  store.newestReads.push(
     createPage([createKeyed('a', 49, 'new')], 50),
     createPage([createKeyed('a', 39, 'old')], 40),
   );
--- a/packages/daemon/src/gateway/store/metered_store.ts
+++ b/packages/daemon/src/gateway/store/metered_store.ts
@@ -92,7 +92,7 @@
     const startedMs = performance.now();
     const outcome = await pending;
     const tookMs = performance.now() - startedMs;
-    this.metrics.noteResult('store_calls', call, outcome.kind, tookMs);
+    this.metrics.recordResult('store_calls', call, outcome.kind, tookMs);
     return outcome;
   }
 }
--- a/packages/daemon/src/gateway/usage/__tests__/usage_meter.spec.ts
+++ b/packages/daemon/src/gateway/usage/__tests__/usage_meter.spec.ts
@@ -9,7 +9,7 @@
 const ALPHA = {kind: 'account', name: 'alpha'} as const;
 
 function createMeter(store: MemoryStore): UsageMeter {
-  return new UsageMeter(store, {vmName: 'vm', lifeId: 'life'}, WINDOW_MS);
+  return new UsageMeter(store, {vmName: 'vm', incarnationId: 'life'}, WINDOW_MS);
 }
 
 function sum(store: MemoryStore, window: number): number {
@@ -34,7 +34,7 @@
 
 test('guards against a request that counts twice where the log did not answer', async t => {
   const store = new MemoryStore();
-  store.plan.push('unknown_but_done', 'unknown', 'refused');
+  store.appendPlans.push('unknown_but_done', 'unknown', 'refused');
   const meter = createMeter(store);
   meter.note(ALPHA, 10_000);
   await meter.finish();
--- a/packages/daemon/src/gateway/usage/__tests__/usage_task.spec.ts
+++ b/packages/daemon/src/gateway/usage/__tests__/usage_task.spec.ts
@@ -117,7 +117,7 @@
   const {store, api, time, task} = await startService();
   await writeCount(store, 'a', 0, 10, 2);
   time.nowMs = settledMs(10);
-  store.plan.push('unknown_but_done');
+  store.appendPlans.push('unknown_but_done');
   await task.tick();
   await writeCount(store, 'bb', 0, 10, 3);
   await task.tick();
@@ -259,10 +259,10 @@
             api.plan.push('busy');
             break;
           case 'append_lost':
-            store.plan.push('unknown');
+            store.appendPlans.push('unknown');
             break;
           case 'append_done':
-            store.plan.push('unknown_but_done');
+            store.appendPlans.push('unknown_but_done');
             break;
           case 'replace':
             holders[step.holder] = create();
--- a/packages/daemon/src/gateway/usage/usage_meter.ts
+++ b/packages/daemon/src/gateway/usage/usage_meter.ts
@@ -14,7 +14,7 @@
 export interface MeterConfig {
   /** Decides the partition, so that VMs spread over all. */
   readonly vmName: string;
-  readonly lifeId: string;
+  readonly incarnationId: string;
 }
 
 /** Least time between two writes, ms: a VM with few requests writes each at once, one with many gathers them. */
@@ -63,7 +63,7 @@
       const waitMs = this.lastWriteMs + GATHER_MS - performance.now();
       if (waitMs > 0) await sleep(waitMs);
       this.lastWriteMs = performance.now();
-      const {lifeId: writer} = this.cfg;
+      const {incarnationId: writer} = this.cfg;
       const number = this.nextNumber++;
       await this.write({writer, number, counts: this.tally.take()});
     }
