--- a/packages/daemon/src/gateway/__tests__/gateway.spec.ts
+++ b/packages/daemon/src/gateway/__tests__/gateway.spec.ts
@@ -14,7 +14,7 @@
   EMPTY_TOPIC,
 } from './gateway_fixtures.js';
 
-/** A platform whose log says nothing that can be used. */
+/** A platform directory that can not decode any record. */
 class RejectingDirectory extends PlatformDirectory {
   readonly configTopic = 'config';
   readonly endpointTopic = 'endpoints';
@@ -24,7 +24,7 @@
     fail(createError('bad_request'));
 }
 
-/** Callers of whom none is understood. */
+/** A protocol that can not decode any call. */
 class RejectingCallers extends CallerProtocol {
   decodeCall = () => fail(createError('bad_request'));
   readAttempt = () => ({id: undefined, deadlineMs: undefined});
@@ -34,13 +34,13 @@
   answerHeaders = () => ({});
 }
 
-/** A platform on whose list every record is an endpoint. */
+/** A platform directory that decodes every record of the endpoint list. */
 class EndpointDirectory extends RejectingDirectory {
   override decodeEndpoint = (id: string) =>
     succeed({...createEntry(1), id, startedAtMs: 1});
 }
 
-/** A log in which only the list of endpoints has news. */
+/** A log in which only the endpoint list gets new records. */
 class EndpointStore extends MemoryStore {
   override readKeyed(...args: Parameters<MemoryStore['readKeyed']>) {
     const [topic] = args;
@@ -81,10 +81,10 @@
   return {gateway, events};
 }
 
-// A VM that is asked to stop while it starts opens its listeners all the same.
-// 1. SIGTERM comes between two listeners; the stop sees a VM that does not serve.
-// 2. The start goes on, says that it serves and takes callers that are cut off.
-test('a start during which the VM is asked to stop does not go on', async t => {
+// Guards against a VM that continues to start after SIGTERM. If the signal comes
+// between the opening of two listeners, the stop finds nothing to drain, and the
+// start would log that it serves and accept callers that are then cut off.
+test('a start is abandoned when the VM is asked to stop meanwhile', async t => {
   const {gateway, events} = createGateway(t);
   const started = gateway.start();
   await gateway.stop();
@@ -99,10 +99,10 @@
   t.deepEqual(events, ['stopping', 'stopped']);
 });
 
-// Requests in flight are cut off when a VM is asked twice to stop.
-// 1. SIGTERM begins a drain of seconds; a second one comes in the middle of it.
-// 2. The second call found a stop under way and was done, and the process ended.
-test('a second request to stop is over when the first is', async t => {
+// Guards against requests in flight that are cut off by a second request to stop.
+// SIGTERM starts a drain of seconds and a second one comes during it; if the
+// second call resolves at once, the process ends before the drain has finished.
+test('a second request to stop waits for the first', async t => {
   const {gateway, events} = createGateway(t);
   await gateway.start();
   const first = gateway.stop();
@@ -111,10 +111,9 @@
   await first;
 });
 
-// What happened can not be found among what every VM says at its start.
-// 1. A fleet of hundreds of VMs comes back and reads the list of endpoints.
-// 2. Each VM wrote a line for each endpoint there was.
-test('endpoints that are there at the start take one line, later ones a line each', async t => {
+// Guards against a log in which relevant lines are hard to find because hundreds of
+// VMs restart and each logs a line for every endpoint of the list.
+test('endpoints that exist at the start share one log line, later ones get a line each', async t => {
   const store = new EndpointStore();
   const records = Array.from({length: 50}, (_, i) =>
     createKeyed(`e${i}`, i, '1'),
@@ -130,6 +129,6 @@
   for (let i = 0; i < 200 && !events.includes('endpoint left'); i++) {
     await sleep(10);
   }
-  const told = events.filter(event => event.includes('endpoint'));
-  t.deepEqual(told, ['endpoints joined', 'endpoint joined', 'endpoint left']);
+  const logged = events.filter(event => event.includes('endpoint'));
+  t.deepEqual(logged, ['endpoints joined', 'endpoint joined', 'endpoint left']);
 });
--- a/packages/daemon/src/gateway/__tests__/gateway_fixtures.ts
+++ b/packages/daemon/src/gateway/__tests__/gateway_fixtures.ts
@@ -1,4 +1,4 @@
-/** Stand-ins for what the gateway's tasks talk to. */
+/** Fakes of the log, endpoints and protocols that the gateway's tasks use. */
 
 import type {IncomingHttpHeaders, OutgoingHttpHeaders} from 'node:http';
 import net from 'node:net';
@@ -35,7 +35,7 @@
   type StoredRecord,
 } from '../store/log_store.js';
 
-/** A protocol with the shortest names. */
+/** An endpoint protocol with short header names, whose engines send no reports and refuse all orders. */
 export class PlainProtocol extends EndpointProtocol {
   readonly versionField = 'version';
 
@@ -92,7 +92,7 @@
   }
 }
 
-/** A watch that tells nobody; its endpoints are there unless `isThere` says otherwise. */
+/** Creates a crash watch that publishes nothing and whose probes succeed unless `isReachable` returns false. */
 export function createCrashWatch(
   isReachable: (target: ProbeTarget) => boolean = () => true,
   book = new CrashRegistry(0),
@@ -106,16 +106,16 @@
   });
 }
 
-/** A server that answers each connection's first bytes with fixed text. */
+/** A server that answers all data with a fixed text. */
 export interface RawServer {
   readonly entry: EndpointEntry;
   close(): Promise<void>;
 }
 
-/** How a raw server leaves a connection after its text. */
+/** What a raw server does with a connection after sending its text. */
 export type ConnectionEnding = 'keep' | 'end' | 'reset';
 
-/** Starts a server that answers every request with `text`, whatever was asked. */
+/** Starts a server that answers every request with `text`. */
 export async function startRawServer(
   text: string,
   ending: ConnectionEnding,
@@ -127,7 +127,7 @@
     socket.on('data', () => {
       socket.write(text, () => {
         if (ending === 'end') socket.end();
-        // What was sent must arrive before the reset does.
+        // The delay lets the text arrive before the reset.
         if (ending === 'reset') setTimeout(() => socket.resetAndDestroy(), 20);
       });
     });
@@ -160,31 +160,31 @@
   };
 }
 
-/** How an append of a memory store ends. */
+/** The planned outcome of an append to a memory store. */
 export type AppendPlan =
   'appended' | 'refused' | 'unknown' | 'unknown_but_done';
 
 /** A keyed topic that never has records. */
 export const EMPTY_TOPIC = 'quiet';
 
-/** A log in memory whose next appends can be told how to end. */
+/** An in-memory log for which the outcomes of appends can be planned. */
 export class MemoryStore extends LogStore {
   readonly partitions = 2;
   readonly maxRecordBytes = 4096;
   readonly maxAppendBytes = 16_384;
   private readonly recordsByPartition = new Map<string, Uint8Array[]>();
-  /** Outcomes of the next appends; a plan that is used up appends. */
+  /** Outcomes of the next appends; later ones succeed. */
   readonly appendPlans: AppendPlan[] = [];
-  /** Answers of the next reads of the newest records; the last one stays. */
+  /** Outcomes of the next reads of the newest records; the last one is repeated. */
   readonly newestReads: KeyedReadOutcome[] = [];
-  /** Answers of the next reads of a keyed topic; then nothing comes. */
+  /** Outcomes of the next reads of a keyed topic; later reads get no answer until they are aborted. */
   readonly keyedReads: KeyedReadOutcome[] = [];
   appends = 0;
   readonly trims: string[] = [];
-  /** Bytes that reads returned. */
+  /** Total bytes returned by reads. */
   readBytes = 0;
 
-  /** Records of one partition, for tests to look at and to fill. */
+  /** Returns the records of one partition, which tests may change. */
   open(topic: string, partition: number): Uint8Array[] {
     const key = `${topic}/${partition}`;
     const records = this.recordsByPartition.get(key) ?? [];
@@ -192,7 +192,7 @@
     return records;
   }
 
-  /** All records of a topic. */
+  /** Lists the records of a topic over all partitions. */
   list(topic: string): readonly Uint8Array[] {
     return Array.from({length: this.partitions}, (_, i) =>
       this.open(topic, i),
@@ -220,7 +220,7 @@
     return {kind: 'appended', offset};
   }
 
-  /** Keyed records that were written, with the outcomes that are planned. */
+  /** Keyed records whose append succeeded. */
   readonly keyedWrites: NewKeyedRecord[] = [];
 
   async appendKeyed(
@@ -286,7 +286,7 @@
   close(): void {}
 }
 
-/** A keyed record with a short value; without one the key is removed. */
+/** Creates a keyed record; without a value it removes the key. */
 export function createKeyed(
   key: string,
   offset: number,
--- a/packages/daemon/src/gateway/__tests__/gateway_metrics.spec.ts
+++ b/packages/daemon/src/gateway/__tests__/gateway_metrics.spec.ts
@@ -26,10 +26,9 @@
   );
 });
 
-// A VM is killed for its memory after months of changes to its rules.
-// 1. Each change brings rules with new names.
-// 2. Each name keeps a histogram until the next start.
-test('the number of series is bounded, and what is left out is counted', t => {
+// Guards against a VM that runs out of memory after many changes of its rules:
+// each new rule name keeps a histogram until the process restarts.
+test('the number of series is limited, and results of further series are counted as dropped', t => {
   const metrics = new GatewayMetrics();
   for (let i = 0; i < 520; i++) {
     metrics.recordResult('requests', `r-${i}`, '200', 1);
--- a/packages/daemon/src/gateway/__tests__/log_sink.spec.ts
+++ b/packages/daemon/src/gateway/__tests__/log_sink.spec.ts
@@ -21,10 +21,10 @@
   return {sink, readLines};
 }
 
-// The last lines of a process are missing, just those that tell why it ended.
-// 1. A write is under way when the process says its last words.
-// 2. It waits for that write only and ends.
-test('a flush writes the lines that came during a write too', async t => {
+// Guards against the loss of a process's last lines, which explain why it ended:
+// they are logged during a write, and a flush that waits for that write only
+// resolves before they are written.
+test('a flush also writes the lines that were added during a write', async t => {
   const {sink, readLines} = createSink(t);
   sink.write('first');
   const writing = sink.flush();
@@ -33,9 +33,9 @@
   t.deepEqual(readLines(), ['first', 'last']);
 });
 
-// A VM runs out of memory, or waits, when nobody reads its log. Whoever looks
-// for a line later must learn which VM dropped it, and when.
-test('lines over the limit are dropped and counted', async t => {
+// Guards against a VM that runs out of memory or blocks when nobody reads its log.
+// The log must show which VM dropped lines, and when.
+test('lines beyond the limit are dropped and counted', async t => {
   const {sink, readLines} = createSink(t);
   const long = 'x'.repeat(100 * 1024);
   for (let i = 0; i < 8; i++) sink.write(long);
--- a/packages/daemon/src/gateway/batches/__tests__/batch_api.spec.ts
+++ b/packages/daemon/src/gateway/batches/__tests__/batch_api.spec.ts
@@ -21,7 +21,7 @@
 import {MemoryStore} from '../../__tests__/gateway_fixtures.js';
 import {createBatch} from './batch_fixtures.js';
 
-/** Callers who send one item and name their call in the path. */
+/** A protocol whose batches have no items and whose paths consist of the batch id. */
 class PlainCallers extends CallerProtocol {
   decodeCall(method: string, path: string): Result<CallerCall> {
     const batchId = path.slice(1);
@@ -69,7 +69,7 @@
   priority: 0,
 };
 
-/** Serves a batch API before `store` and returns a way to call it. */
+/** Serves a batch API that uses `store`; returns a function that calls it. */
 async function startApi(t: ExecutionContext, store: MemoryStore) {
   const protocol = new PlainCallers();
   const deps = {
@@ -111,7 +111,7 @@
   };
 }
 
-test('a batch is acknowledged once it stands in the log', async t => {
+test('a batch is acknowledged once it is stored in the log', async t => {
   const store = new MemoryStore();
   const call = await startApi(t, store);
   t.is((await call('POST', '/r/')).status, 202);
@@ -121,7 +121,7 @@
   t.is((await call('GET', '/b2')).status, 404);
 });
 
-test('guards against an account that finds, ends or takes over the batch of another', async t => {
+test('an account can not read, end or replace the batch of another account', async t => {
   const store = new MemoryStore();
   const call = await startApi(t, store);
   t.is((await call('POST', '/r/', 'alpha')).status, 202);
@@ -133,7 +133,7 @@
   t.is(store.list(INDEX_TOPIC).length, 1);
 });
 
-test('a batch is ended once, however often it is asked', async t => {
+test('a batch is ended once, however often the end is requested', async t => {
   const store = new MemoryStore();
   const call = await startApi(t, store);
   await call('POST', '/r/');
@@ -142,32 +142,30 @@
   t.is(store.list(INDEX_TOPIC).length, 2);
 });
 
-// A trainer gets 503, which says that nothing will run, and the batch runs.
-// 1. The log does not answer an append; it may be carried out seconds later.
-// 2. The tries after it are refused.
-// Cause: the last outcome taken for the whole.
-test('a batch is refused only if no append can stand', async t => {
+// Guards against a 503, which promises that nothing will run, for a batch that
+// runs later. It comes about if the log does not answer an append, which may still
+// be carried out, all retries are refused, and only the last outcome is considered.
+test('a batch is refused only if no append can have been stored', async t => {
   const refused = new MemoryStore();
   for (let i = 0; i < 1000; i++) refused.appendPlans.push('refused');
   const callRefused = await startApi(t, refused);
-  const unsure = new MemoryStore();
-  unsure.appendPlans.push('appended', 'unknown');
-  for (let i = 0; i < 1000; i++) unsure.appendPlans.push('refused');
-  const callUnsure = await startApi(t, unsure);
+  const uncertain = new MemoryStore();
+  uncertain.appendPlans.push('appended', 'unknown');
+  for (let i = 0; i < 1000; i++) uncertain.appendPlans.push('refused');
+  const callUncertain = await startApi(t, uncertain);
   const [first, second] = await Promise.all([
     callRefused('POST', '/r/'),
-    callUnsure('POST', '/r/'),
+    callUncertain('POST', '/r/'),
   ]);
   t.is(first.status, 503);
   t.truthy(first.headers.get('retry-after'));
   t.is(second.status, 502);
 });
 
-// A trainer is told for sure that its step will not run, and is told the truth.
-// 1. The log does not answer while the batch's bytes are stored, and never has
-//    a record that says that the batch counts.
-// 2. The bytes may stand; nothing refers to them.
-test('a batch whose payload was not stored for sure is refused and never runs', async t => {
+// A trainer may rely on a refusal even if it is unknown whether the payload was
+// stored: without an index record nothing refers to the payload, so the batch
+// never runs.
+test('a batch whose payload may not have been stored is refused and never runs', async t => {
   const store = new MemoryStore();
   for (let i = 0; i < 1000; i++) store.appendPlans.push('unknown_but_done');
   const call = await startApi(t, store);
@@ -176,8 +174,8 @@
   t.is((await call('GET', '/b1')).status, 404);
 });
 
-// A batch is taken twice.
-// 1. The answer to an append is lost; the append is made again.
+// Guards against a batch that is accepted twice because the answer to an append
+// is lost and the append is retried.
 test('an append whose answer was lost accepts the batch once', async t => {
   const store = new MemoryStore();
   store.appendPlans.push('appended', 'unknown_but_done');
--- a/packages/daemon/src/gateway/batches/__tests__/batch_fixtures.ts
+++ b/packages/daemon/src/gateway/batches/__tests__/batch_fixtures.ts
@@ -1,4 +1,4 @@
-/** Batches in a log, as they stand once callers and a coordinator wrote them. */
+/** Creates batches and writes them to a log as callers and a coordinator would. */
 
 import type {
   Batch,
@@ -41,7 +41,7 @@
   return {itemId, state: 'done', output, versions: [1], score: 'proof'};
 }
 
-/** Writes an accepted batch with `results` into `partition`. */
+/** Writes an accepted batch and its `results` to `partition`. */
 export async function writeBatch(
   store: LogStore,
   partition: number,
--- a/packages/daemon/src/gateway/batches/__tests__/batch_loader.spec.ts
+++ b/packages/daemon/src/gateway/batches/__tests__/batch_loader.spec.ts
@@ -17,7 +17,7 @@
 const FRESH: LoadOptions = {mayHaveProgress: false, textsOf: new Set()};
 const STARTED: LoadOptions = {mayHaveProgress: true, textsOf: new Set()};
 
-/** One batch of three items, the first with a result. */
+/** Creates a loader and a log with one batch of three items, the first with a result. */
 async function createLoad() {
   const store = new MemoryStore();
   const replicas = new IndexReplicas(store, silentLogger);
@@ -28,7 +28,7 @@
   await replica.sync();
   return {
     store,
-    book: replica,
+    replica,
     entry: replica.index.get('b0')!,
     loader: new BatchLoader(store, replicas, silentLogger),
     abort: new AbortController(),
@@ -46,10 +46,10 @@
   });
 }
 
-// A step is made anew after its coordinator died.
-// 1. The coordinator has written down half of a text.
-// 2. Its successor reads the batch, and other batches stand in the same partition.
-test('a successor gets the texts so far, and only those of the batch', async t => {
+// Guards against a step that is generated again from the start after a failover,
+// although the old coordinator had written part of a text. The partition also has
+// the progress of other batches, which must not be mixed in.
+test('a new coordinator reads the texts so far, and only those of the batch', async t => {
   const {loader, entry, abort, writeProgress} = await createLoad();
   const item = {batchId: 'b0', itemId: 'b'};
   writeProgress({...item, events: createEvents(1, 2)});
@@ -62,7 +62,7 @@
   t.is(c.transcript.events.length, 0);
 });
 
-test('a batch that nobody has run is read without progress', async t => {
+test('progress is not read for a batch that no coordinator has run', async t => {
   const {loader, entry, abort, store, writeProgress} = await createLoad();
   writeProgress({batchId: 'b0', itemId: 'b', events: createEvents(1, 1000)});
   store.readBytes = 0;
@@ -70,7 +70,7 @@
   t.true(store.readBytes < 2000, `${store.readBytes} bytes`);
 });
 
-test('texts of results are read for the items that are wanted', async t => {
+test('texts of results are read only for the requested items', async t => {
   const {loader, entry, abort} = await createLoad();
   const options = {mayHaveProgress: true, textsOf: new Set(['a', 'z'])};
   const state = await loader.load(entry, options, abort.signal);
@@ -79,10 +79,9 @@
   t.is(without!.items.get('a')!.result, undefined);
 });
 
-// A step is never run.
-// 1. The log does not answer as a coordinator reads a batch that was accepted.
-// 2. Nothing else tells the coordinator of the batch again.
-test('a batch is read again until it can be', async t => {
+// Guards against a step that is never run. If the log does not answer while a
+// coordinator reads an accepted batch, nothing else makes it read the batch again.
+test('a failed read of a batch is retried until it succeeds', async t => {
   const {loader, entry, abort, store} = await createLoad();
   const read = store.read.bind(store);
   let failures = 2;
@@ -94,20 +93,21 @@
   t.is(state!.batch.items.length, 3);
 });
 
-test('a batch that ends meanwhile is read no further', async t => {
-  const {loader, entry, abort, store, book} = await createLoad();
+test('reading stops when the batch ends meanwhile', async t => {
+  const {loader, entry, abort, store, replica} = await createLoad();
   store.read = async () => ({
     kind: 'failed',
     error: createError('log_unavailable'),
   });
   const loading = loader.load(entry, FRESH, abort.signal);
-  book.index.apply({kind: 'ended', batchId: 'b0'});
+  replica.index.apply({kind: 'ended', batchId: 'b0'});
   t.is(await loading, undefined);
 });
 
-test('progress that can not be read is skipped', async t => {
-  const {loader, entry, abort, store, book, writeProgress} = await createLoad();
-  store.open(PROGRESS_TOPIC, book.partition).push(new Uint8Array([0xc1]));
+test('a progress record that can not be decoded is skipped', async t => {
+  const {loader, entry, abort, store, replica, writeProgress} =
+    await createLoad();
+  store.open(PROGRESS_TOPIC, replica.partition).push(new Uint8Array([0xc1]));
   writeProgress({batchId: 'b0', itemId: 'b', events: createEvents(1, 1)});
   const state = await loader.load(entry, STARTED, abort.signal);
   t.is(state!.items.get('b')!.transcript.joinOutput(), '1');
--- a/packages/daemon/src/gateway/batches/__tests__/failover_watch.spec.ts
+++ b/packages/daemon/src/gateway/batches/__tests__/failover_watch.spec.ts
@@ -2,14 +2,14 @@
 import {createEntry} from '../../__tests__/gateway_fixtures.js';
 import {FailoverWatch} from '../failover_watch.js';
 
-/** A watch whose log was last reached at 0, before one engine with `own` runs of it and `reported` in all. */
+/** Creates a watch that last reached the log at 0 ms, and one engine that reports `reported` runs, of which `own` are its own. */
 function createWatch(own: number, reported: number) {
   const state = {nowMs: 0, reported};
   const found: number[] = [];
-  let asked = 0;
+  let queries = 0;
   const watch = new FailoverWatch({
     fetchReport: () => {
-      asked += 1;
+      queries += 1;
       const report = {models: [], isBusy: false, orders: 0, bornMs: 0};
       return Promise.resolve({...report, runs: state.reported});
     },
@@ -22,7 +22,7 @@
   return {
     state,
     found,
-    countAsked: () => asked,
+    countQueries: () => queries,
     checkAt: (nowMs: number) => {
       state.nowMs = nowMs;
       return watch.check();
@@ -30,21 +30,20 @@
   };
 }
 
-// Engines are full of work that counts for nothing.
-// 1. The coordinator is cut off from the log; another VM takes over.
-// 2. Both run the same items, each on half of the places.
-// Cause: a coordinator that goes on as if the log were away for all.
-test('items that run elsewhere too are noticed', async t => {
-  const {found, countAsked, checkAt} = createWatch(10, 20);
+// Guards against engines that are full of useless runs. A coordinator is cut off
+// from the log and another VM takes over. If the first one continues as in an
+// outage of the log, both run the same items, each on half of the slots.
+test('items that another VM runs as well are detected', async t => {
+  const {found, countQueries, checkAt} = createWatch(10, 20);
   await checkAt(1200);
-  t.is(countAsked(), 0, 'the log has only just fallen silent');
+  t.is(countQueries(), 0, 'the log has been silent for too short a time');
   await checkAt(1500);
-  t.deepEqual(found, [], 'a moved run may be reported twice for a moment');
+  t.deepEqual(found, [], 'a run that moves may briefly be reported twice');
   await checkAt(2000);
   t.deepEqual(found, [10]);
 });
 
-test('a few runs of others are no successor', async t => {
+test('a few foreign runs do not indicate a failover', async t => {
   for (const [own, reported] of [
     [2, 7],
     [30, 40],
@@ -55,7 +54,7 @@
   }
 });
 
-test('runs of others that are gone again count anew', async t => {
+test('foreign runs must be found in consecutive rounds', async t => {
   const {state, found, checkAt} = createWatch(10, 20);
   await checkAt(1500);
   state.reported = 10;
@@ -65,15 +64,15 @@
   t.deepEqual(found, []);
 });
 
-test('while the log is away for all VMs the runs go on', async t => {
-  const {found, countAsked, checkAt} = createWatch(10, 10);
+test('runs continue during an outage of the log for all VMs', async t => {
+  const {found, countQueries, checkAt} = createWatch(10, 10);
   for (let nowMs = 1500; nowMs < 6000; nowMs += 500) await checkAt(nowMs);
   t.deepEqual(found, []);
-  t.is(countAsked(), 9);
+  t.is(countQueries(), 9);
 });
 
-test('engines are asked one round at a time', async t => {
-  const {countAsked, checkAt} = createWatch(1, 1);
+test('engines are queried one round at a time', async t => {
+  const {countQueries, checkAt} = createWatch(1, 1);
   await Promise.all([checkAt(1500), checkAt(1501)]);
-  t.is(countAsked(), 1);
+  t.is(countQueries(), 1);
 });
--- a/packages/daemon/src/gateway/batches/__tests__/generation.spec.ts
+++ b/packages/daemon/src/gateway/batches/__tests__/generation.spec.ts
@@ -33,56 +33,56 @@
 
 const CASES: readonly GenerationCase[] = [
   {
-    name: 'events come with the version that made them',
+    name: 'events have the weight version that made them',
     text: `${HEAD}id: 1\ndata: x\n\nversion: 7\nid: 2\ndata: y\n\n`,
     ending: 'end',
     events: ['1:x@6', '2:y@7'],
     end: 'finished',
   },
   {
-    name: 'an event that was cut off is not handed on',
+    name: 'an event that was cut off is not passed on',
     text: `${HEAD}id: 1\ndata: x\n\nid: 2\ndata: half`,
     ending: 'reset',
     events: ['1:x@6'],
     end: 'broken',
   },
   {
-    name: 'an event without a number breaks the run',
+    name: 'an event without an id breaks the run',
     text: `${HEAD}data: x\n\n`,
     ending: 'end',
     events: [],
     end: 'broken',
   },
   {
-    name: 'a failure is told from what can never be done',
+    name: 'status 422 means that the item can never be done',
     text: 'HTTP/1.1 422 No\r\nId: a1\r\nContent-Length: 0\r\n\r\n',
     ending: 'keep',
     events: [],
     end: 'impossible',
   },
   {
-    name: 'a failed attempt is told',
+    name: 'status 500 means that the attempt failed',
     text: 'HTTP/1.1 500 No\r\nId: a1\r\nContent-Length: 0\r\n\r\n',
     ending: 'keep',
     events: [],
     end: 'failed',
   },
   {
-    name: 'an engine that is full did not run it',
+    name: 'a full engine refuses the run',
     text: 'HTTP/1.1 503 Full\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n',
     ending: 'keep',
     events: [],
     end: 'refused',
   },
   {
-    name: 'another engine has the address',
+    name: 'status 421 means that another engine has the address',
     text: 'HTTP/1.1 421 No\r\nContent-Length: 0\r\n\r\n',
     ending: 'keep',
     events: [],
     end: 'misdirected',
   },
   {
-    name: 'the output of another item is not taken',
+    name: 'the output of another item is rejected',
     text: HEAD.replace('Id: a1', 'Id: b2') + 'id: 1\ndata: x\n\n',
     ending: 'end',
     events: [],
@@ -90,9 +90,9 @@
   },
 ];
 
-// A sample has pieces of another text, or ends before its end.
-// 1. An engine breaks off in the middle of an event, or answers for another.
-// 2. What came so far is taken for whole.
+// Guards against samples that are truncated or contain parts of another text. An
+// engine may fail in the middle of an event or answer for another item, and the
+// output received so far must not be taken for complete.
 for (const {name, text, ending, events, end} of CASES) {
   test(name, async t => {
     const server = await startRawServer(text, ending);
--- a/packages/daemon/src/gateway/batches/__tests__/record_writer.spec.ts
+++ b/packages/daemon/src/gateway/batches/__tests__/record_writer.spec.ts
@@ -11,10 +11,9 @@
   for (let i = 0; i < 200 && !isDone(); i++) await sleep(10);
 }
 
-// A result that a trainer waits for is lost.
-// 1. The log refuses an append, then gets one and its answer is lost.
-// 2. The writer goes on with the next records.
-test('records are appended again until the log says that they stand', async t => {
+// Guards against the loss of a result that a trainer waits for: the log refuses
+// an append or its answer is lost, and the writer continues with the next records.
+test('an append is retried until the log confirms it', async t => {
   const store = new MemoryStore();
   store.appendPlans.push('refused', 'unknown_but_done');
   const writer = new IndexWriter(store, 0);
@@ -23,10 +22,10 @@
   await sleep(20);
   const records = store.open(INDEX_TOPIC, 0).map(decodeIndexRecord);
   const ended = {kind: 'ended', batchId: 'b0'};
-  t.deepEqual(records, [ended, ended], 'twice is as good as once');
+  t.deepEqual(records, [ended, ended], 'a duplicate has no effect');
 });
 
-test('records of one moment go in one call', async t => {
+test('records written at the same time share one append', async t => {
   const store = new MemoryStore();
   const writer = new IndexWriter(store, 0);
   for (const batchId of ['a', 'b', 'c']) writer.write({kind: 'ended', batchId});
@@ -34,23 +33,23 @@
   t.is(store.appends, 1);
 });
 
-// A VM runs out of memory while the log is away for long.
-test('a writer takes no more than it may hold', async t => {
+// Guards against a VM that runs out of memory during a long outage of the log.
+test('a writer refuses records once its queue is full', async t => {
   const store = new MemoryStore();
   for (let i = 0; i < 1000; i++) store.appendPlans.push('refused');
   const writer = new ProgressWriter(store, 0);
   const data = 'x'.repeat(1024 * 1024);
   const events = [{id: 1, data, version: 1, run: 'r'}];
   const write = () => writer.write({batchId: 'b', itemId: 'i', events});
-  let taken = 0;
-  while (taken < 100 && write()) taken += 1;
-  t.true(taken > 5 && taken < 20);
+  let accepted = 0;
+  while (accepted < 100 && write()) accepted += 1;
+  t.true(accepted > 5 && accepted < 20);
   writer.stop();
 });
 
-// A step is late though all but one of its results could stand in time.
-// 1. The answer to an append is lost, which shows only after most of a second.
-// 2. Results that come meanwhile wait behind it.
+// Guards against a step that is late although all but one of its results could be
+// written in time. A lost answer to an append is noticed only after most of a
+// second, and later results must not wait for it.
 test('results do not wait behind an append whose answer is lost', async t => {
   const store = new MemoryStore();
   const append = store.append.bind(store);
@@ -71,9 +70,9 @@
   t.is(store.open(INDEX_TOPIC, 0).length, 3);
 });
 
-// A successor makes a text anew though all of it was written down.
-// Cause: progress that does not follow what is known is dropped.
-test('progress stands in the order in which it was made', async t => {
+// Guards against a text that is generated again after a failover although all of
+// it was written: progress that does not follow the previous record is dropped.
+test('progress is stored in the order in which it was made', async t => {
   const store = new MemoryStore();
   store.appendPlans.push('refused', 'refused');
   const writer = new ProgressWriter(store, 0);
@@ -89,32 +88,29 @@
   );
 });
 
-// The log refuses every append once it holds as much as it may in all.
-// 1. Items run for minutes, and their output is written down twice a second.
-// 2. Nobody trims what no successor would go on from.
-test.serial(
-  'progress that nobody goes on from any more is trimmed',
-  async t => {
-    const clock = install();
-    // Modules that import `node:timers/promises` see the paused clock only then.
+// Guards against a log that reaches its size limit and refuses all appends. Items
+// run for minutes and their output is written twice a second, so progress that is
+// too old for a failover must be trimmed.
+test.serial('progress that is older than its retention is trimmed', async t => {
+  const clock = install();
+  // Without this, modules that import `node:timers/promises` keep the real clock.
+  syncBuiltinESMExports();
+  t.teardown(() => {
+    clock.uninstall();
     syncBuiltinESMExports();
-    t.teardown(() => {
-      clock.uninstall();
-      syncBuiltinESMExports();
-    });
-    const store = new MemoryStore();
-    const writer = new ProgressWriter(store, 1);
-    for (let i = 0; i < 90; i++) {
-      writer.write({batchId: 'b', itemId: 'i', events: []});
-      await clock.tickAsync(1000);
-    }
-    t.is(store.trims[0], 'batch_progress/1 before 0');
-    const last = Number(store.trims.at(-1)!.split(' ').at(-1));
-    t.true(last >= 10 && last <= 30, store.trims.join(', '));
-  },
-);
+  });
+  const store = new MemoryStore();
+  const writer = new ProgressWriter(store, 1);
+  for (let i = 0; i < 90; i++) {
+    writer.write({batchId: 'b', itemId: 'i', events: []});
+    await clock.tickAsync(1000);
+  }
+  t.is(store.trims[0], 'batch_progress/1 before 0');
+  const last = Number(store.trims.at(-1)!.split(' ').at(-1));
+  t.true(last >= 10 && last <= 30, store.trims.join(', '));
+});
 
-/** Lists an item with `text` and waits until the index has it. */
+/** Writes a result with `text` and waits until the index has it. */
 async function listText(store: MemoryStore, text: string): Promise<void> {
   const writer = new IndexWriter(store, 0);
   const listed = {
@@ -127,10 +123,9 @@
   await waitFor(() => store.open(INDEX_TOPIC, 0).length > 0);
 }
 
-// A reader finds a result in the index and no text behind it.
-// 1. The log refuses the text of a result.
-// 2. The result goes into the index all the same.
-test('a result is listed only once its text stands', async t => {
+// Guards against a result in the index whose text can not be read because the log
+// refused to store it.
+test('a result is added to the index only after its text is stored', async t => {
   const store = new MemoryStore();
   store.appendPlans.push('refused', 'unknown');
   await listText(store, 'text');
@@ -142,15 +137,15 @@
   t.is(bytes, 4);
 });
 
-test('a text that stands is not stored again when the index did not answer', async t => {
+test('a stored text is not stored again when the append to the index is retried', async t => {
   const store = new MemoryStore();
   store.appendPlans.push('appended', 'refused', 'refused');
   await listText(store, 'text');
   t.is(store.open(PAYLOAD_TOPIC, 0).length, 1);
 });
 
-// A long text blocks all results behind it for ever.
-// Cause: the log takes records up to a bound, and a text was one record.
+// Guards against a long text that blocks all results behind it for ever, because
+// it is written as one record that exceeds the log's limit.
 test('a text may be larger than a record', async t => {
   const store = new MemoryStore();
   const text = 'x'.repeat(2.5 * store.maxRecordBytes);
--- a/packages/daemon/src/gateway/batches/batch_api.ts
+++ b/packages/daemon/src/gateway/batches/batch_api.ts
@@ -1,6 +1,7 @@
 /**
- * Batches towards callers: a submission is acknowledged once the log has it
- * whole, and everything that is read comes from the log as of the question.
+ * Serves the batch calls of callers. A submission is acknowledged once the log
+ * has stored all of it, and reads are answered from the log as it is when the
+ * call arrives.
  */
 
 import {
@@ -35,18 +36,18 @@
   readonly logger: EventLogger;
 }
 
-/** An append is tried for this long, ms; the caller goes to another VM after about as long. */
+/** Time for all attempts of one append, ms; a caller tries another VM after about as long. */
 const APPEND_BUDGET_MS = 2500;
-/** Pause between tries, ms. */
+/** Pause between attempts of an append, ms. */
 const APPEND_RETRY_MS = 60;
-/** Output in one page, bytes; the page must stay under 1 MB, and a line feed takes two bytes there. */
+/** Maximum output in one result page, bytes. The encoded page must stay under 1 MB, and a line feed takes two bytes in it. */
 const MAX_PAGE_BYTES = 300_000;
-/** When to come back while the log is out of reach, ms. */
+/** Delay before a caller should retry when the log is unreachable or this VM is overloaded, ms. */
 const RETRY_AFTER_MS = 300;
-/** Submissions that are decoded and stored at once on one VM; each holds its body several times over. */
+/** Submissions that one VM decodes and stores at the same time. Each holds several copies of its body in memory. */
 const MAX_SUBMISSIONS = 16;
 
-/** A batch as it was posted. */
+/** A batch submission as received over HTTP. */
 export interface BatchPost {
   readonly route: Route;
   readonly caller: Caller;
@@ -63,7 +64,7 @@
     this.payloads = new PayloadLog(deps.store);
   }
 
-  /** Takes a batch that was posted under a route. */
+  /** Stores a submitted batch and answers the caller. */
   async submit(
     post: BatchPost,
     req: http.IncomingMessage,
@@ -91,7 +92,7 @@
     }
   }
 
-  /** Answers a call about a batch; for a caller of another account it is not there. */
+  /** Answers a call about an existing batch. A caller of another account gets `not_found`. */
   async answer(
     call: Exclude<CallerCall, {kind: 'request'}>,
     caller: Caller,
@@ -136,7 +137,7 @@
     const replica = replicas.locate(attemptId);
     const existing = replica.index.get(attemptId);
     if (existing && !isOwner(caller, existing.header.account)) {
-      return createError('duplicate_request', 'the id is taken');
+      return createError('duplicate_request', 'the id is already in use');
     }
     if (existing) return undefined;
     const accepted = await this.accept(replica, batch.value);
@@ -157,10 +158,10 @@
   }
 
   /**
-   * Stores the batch and then its place in the index, with which it counts. The
-   * payload alone runs nothing, so as long as the index was not asked to take
-   * the batch it is certain that it will not run, whatever became of the payload.
-   * Says at which offset of the index it stands.
+   * Stores the payload of the batch, then its index record, which accepts it.
+   * A payload without an index record is never run, so the batch can safely be
+   * refused until the append to the index is sent, even if it is unknown whether
+   * the payload was stored. Returns the offset of the index record.
    */
   private async accept(
     replica: IndexReplica,
@@ -206,7 +207,7 @@
     }
   }
 
-  /** A call without an answer is made again: a record that stands twice counts once. */
+  /** Appends to the index, with retries. An attempt of unknown outcome can be repeated, since a duplicate record has no effect. */
   private async appendIndex(
     replica: IndexReplica,
     record: Uint8Array,
@@ -221,9 +222,13 @@
       if (outcome.kind === 'appended') return outcome;
       isUncertain ||= outcome.kind === 'unknown';
       if (performance.now() + APPEND_RETRY_MS > untilMs) {
-        // One try that may stand makes the whole uncertain, whatever came after.
+        // If one attempt may have been stored, the outcome is unknown even if
+        // all later attempts were refused.
         if (!isUncertain || outcome.kind === 'unknown') return outcome;
-        const error = createError('outcome_unknown', 'an append may stand');
+        const error = createError(
+          'outcome_unknown',
+          'an append may have been stored',
+        );
         return {kind: 'unknown', error};
       }
       await sleep(APPEND_RETRY_MS);
@@ -281,8 +286,8 @@
     if (!entry.isEnded) {
       const outcome = await this.appendIndex(replica, encodeRecord(record));
       if (outcome.kind !== 'appended') {
-        // Ending is idempotent, so it may be said that it can be tried again,
-        // but not that it did not happen.
+        // The caller may retry, since ending is idempotent, but must not assume
+        // that the batch was not ended.
         const error = createError('outcome_unknown', 'the log did not answer');
         return this.finish(res, 'end', batchId, undefined, error);
       }
@@ -349,7 +354,7 @@
   }
 }
 
-/** Nothing of the batch stands or will. */
+/** Creates the error for a batch that was not stored and never will be. */
 function createRefusal(detail: string): RadishyokeError {
   return createError('log_unavailable', detail, {
     retryAfterMs: RETRY_AFTER_MS,
--- a/packages/daemon/src/gateway/batches/batch_codec.ts
+++ b/packages/daemon/src/gateway/batches/batch_codec.ts
@@ -1,4 +1,4 @@
-/** Bytes of batch and lease records. Written by one VM, read by all. */
+/** Encodes and decodes batch and lease records, which any VM may read. */
 
 import type {
   Batch,
@@ -8,7 +8,7 @@
 import type {LeaseRecord} from '@radishyoke/core/leases/log_lease';
 import {Packr} from 'msgpackr';
 
-/** Plain maps, so that records of one version of the program can be read by another. */
+/** Encodes plain maps, so that other versions of the program can read the records. */
 const packr = new Packr({useRecords: false});
 
 export function encodeRecord(
@@ -29,7 +29,7 @@
   return packr.unpack(bytes) as LeaseRecord;
 }
 
-/** The payload of a submission. */
+/** Encodes the payload of a submission. */
 export function encodeBatch(batch: Batch): Uint8Array {
   return packr.pack(batch);
 }
--- a/packages/daemon/src/gateway/batches/batch_loader.ts
+++ b/packages/daemon/src/gateway/batches/batch_loader.ts
@@ -1,6 +1,7 @@
 /**
- * Reads from the log what a coordinator needs of a batch beside the index: the
- * submission, and for a batch that another one has begun the texts so far.
+ * Reads the parts of a batch that a coordinator needs and the index does not
+ * have: the submission and, if another coordinator has started the batch, the
+ * output made so far.
  */
 
 import {
@@ -23,19 +24,19 @@
 import {decodeProgressRecord} from './batch_codec.js';
 import {PROGRESS_TOPIC} from './batch_topics.js';
 
-/** First pause after a failed read, ms; doubles up to the next. */
+/** First pause after a failed read, ms; it doubles up to `MAX_RETRY_MS`. */
 const FIRST_RETRY_MS = 100;
 const MAX_RETRY_MS = 800;
-/** Batches that are read at once, the oldest first; more would share a small link and none be whole. */
+/** Batches that are read at the same time, oldest first. More would share a slow link, and none would be complete soon. */
 const MAX_LOADS = 3;
 
 type Transcripts = ReadonlyMap<string, Transcript>;
 
-/** What is to be read of a batch. */
+/** Selects what to read of a batch. */
 export interface LoadOptions {
-  /** Whether another coordinator may have run items of it. */
+  /** Whether another coordinator may have run items of the batch, so that its progress must be read. */
   readonly mayHaveProgress: boolean;
-  /** Items whose listed texts are wanted. */
+  /** Ids of the items whose result texts are read. */
   readonly textsOf: ReadonlySet<string>;
 }
 
@@ -49,7 +50,7 @@
     private readonly logger: EventLogger,
   ) {}
 
-  /** Reads until it succeeds, `signal` aborts, or the batch needs nothing more. */
+  /** Retries until the batch is read; returns undefined if `signal` aborts or the batch completes first. */
   async load(
     entry: IndexedBatch,
     options: LoadOptions,
--- a/packages/daemon/src/gateway/batches/batch_runner.ts
+++ b/packages/daemon/src/gateway/batches/batch_runner.ts
@@ -1,7 +1,7 @@
 /**
- * Runs the items of all open batches while this VM is the coordinator: follows
- * the partitions, asks the scheduler what to do, runs it, and writes down what
- * came of it.
+ * Runs the items of all open batches while this VM is the coordinator. It follows
+ * the index of every partition, performs the actions that the scheduler decides
+ * on, and writes progress and results to the log.
  */
 
 import {BatchScheduler} from '@radishyoke/core/batches/batch_scheduler';
@@ -68,7 +68,7 @@
   readonly clock: VmClock;
   readonly metrics: GatewayMetrics;
   readonly vmName: string;
-  /** Unique for each time that a VM became the coordinator. */
+  /** Unique for each time that a VM becomes the coordinator. */
   readonly termId: string;
   readonly view: EndpointView;
   readonly dataCentre: string;
@@ -76,24 +76,24 @@
   readonly logger: EventLogger;
 }
 
-/** How often the scheduler decides beside each event that it waits for, ms. */
+/** Interval of the scheduler's periodic decisions, ms; events trigger further ones. */
 const TICK_MS = 60;
-/** What happens within this time is decided on together, ms: a place stays empty no longer than a run takes for a tenth of one event. */
+/** Events within this time share one decision, ms. A free slot of an engine thus stays empty for at most a tenth of the time between two events of a run. */
 const DECIDE_DELAY_MS = 8;
-/** How often running output is written down, ms: a successor repeats at most this much. */
+/** Interval at which the output of running items is written to the log, ms. After a failover, at most this much is generated again. */
 const PROGRESS_MS = 500;
 /**
- * Nothing is started this long after the log was last reached, ms. Behind a cut
- * this VM does not hear that a batch ended, and must not start its items later
- * than callers may expect.
+ * Nothing is started once the log has been unreachable for this long, ms. A VM
+ * that is cut off from the log does not learn that a batch has ended, and must
+ * not start items of it later than its caller expects.
  */
 const MAX_LOG_SILENCE_MS = 2200;
-/** Output tokens of one event until the configuration says. */
+/** Output tokens per event if the configuration has no value. */
 const DEFAULT_TOKENS_PER_EVENT = 1;
 
 const NO_ITEMS: ReadonlySet<string> = new Set();
 
-/** What the log tells of a run. */
+/** Log events about a run. */
 type RunLogEvent = Exclude<
   Extract<LogEventName, `run ${string}`>,
   'run broken'
@@ -101,7 +101,7 @@
 
 interface LiveRun {
   readonly run: Run;
-  /** Absent while it is found out whether the engine is there. */
+  /** Absent until a probe has shown that the engine is reachable. */
   readonly execution?: {
     readonly generation: Generation;
     readonly watched: WatchedRequest;
@@ -114,13 +114,13 @@
   private readonly weights: WeightTask;
   private readonly failover: FailoverWatch;
   private readonly rewards: RewardTask;
-  /** Steady ms at which another VM was found to run the items; nothing starts here until the log tells more. */
+  /** Steady ms at which another VM was last seen to run the items. Nothing is started until the log has been reached after that. */
   private supersededMs = -Infinity;
   private readonly liveRuns = new Map<string, LiveRun>();
   private readonly fingerprints = new WeakMap<Job, string>();
   private readonly itemLog: ItemLog;
   private readonly loader: BatchLoader;
-  /** Batches that are read from the log. */
+  /** Ids of the batches that are being read from the log. */
   private readonly loading = new Set<string>();
   private readonly abort = new AbortController();
   private readonly listener = (change: IndexChange) => this.applyChange(change);
@@ -144,7 +144,7 @@
     this.scheduler = new BatchScheduler({
       tokensPerEvent,
       runPrefix: termId,
-      isQuarantined: job => this.isHeld(job),
+      isQuarantined: job => this.isBlocked(job),
     });
     this.itemLog = new ItemLog(deps.store, deps.replicas, termId);
     this.loader = new BatchLoader(deps.store, deps.replicas, logger);
@@ -174,23 +174,23 @@
       links,
       protocol,
       scheduler: this.scheduler,
-      newestVersions: newestVersions,
+      newestVersions,
       metrics: deps.metrics,
       vmName,
       logger,
     });
   }
 
-  /** Batches whose items it runs. */
+  /** Number of batches whose items are being run. */
   get openCount(): number {
     return this.scheduler.openCount;
   }
 
-  /** Reads what there is and starts to run it. */
+  /** Reads the index of all partitions and starts to run the open batches. */
   async start(): Promise<void> {
     const {replicas} = this.deps;
     const replicaList = replicas.openAll();
-    // One listener for each partition that is followed.
+    // Each followed partition adds an abort listener; Node.js would warn of a leak.
     setMaxListeners(0, this.abort.signal);
     await Promise.all(replicaList.map(replica => replica.sync()));
     if (this.abort.signal.aborted) return;
@@ -211,7 +211,7 @@
     }, PROGRESS_MS);
   }
 
-  /** Stops all runs; what they made so far is written down first where it can be. */
+  /** Stops all runs, after queueing a write of their output so far. */
   stop(): void {
     this.writeProgress();
     this.abort.abort();
@@ -224,13 +224,13 @@
     this.stopRuns();
   }
 
-  /** An endpoint's entry changed. */
+  /** Updates the weight versions of an endpoint whose entry changed. */
   onEndpointChange(id: string): void {
     const entry = this.deps.roster.get(id);
     if (entry) this.fleet.recordEntry(entry);
   }
 
-  /** An endpoint is gone or another one now. */
+  /** Drops the state of an endpoint that is gone or has restarted. */
   forgetEndpoint(id: string): void {
     this.scheduler.engineHealth.forget(id);
     this.fleet.forget(id);
@@ -260,7 +260,7 @@
     this.scheduleDecision();
   }
 
-  /** Reads the batch and hands it to the scheduler. */
+  /** Reads the batch from the log and adds it to the scheduler. */
   private async open(
     entry: IndexedBatch,
     mayHaveProgress: boolean,
@@ -271,22 +271,22 @@
     this.loading.add(header.id);
     await this.loadEarlier(entry);
     const {signal} = this.abort;
-    const options = {mayHaveProgress: mayHaveProgress, textsOf: NO_ITEMS};
+    const options = {mayHaveProgress, textsOf: NO_ITEMS};
     const state = await this.loader.load(entry, options, signal);
     this.loading.delete(header.id);
     const {table} = this.deps.config;
     if (!state || !table || signal.aborted) return;
     const failed = countEarlierFailures(entry, this.listIndexed());
     this.scheduler.openBatch(state, this.findTerms(header, table), failed);
-    // Records that came while the payload was read.
+    // The batch may have completed while its payload was read.
     if (isComplete(entry)) this.scheduler.closeBatch(header.id);
     this.scheduleDecision();
   }
 
   /**
-   * Groups that were not complete come again in a later batch. What another
-   * coordinator made of their items is read before that one begins, or it would
-   * all be made anew.
+   * Reads the earlier batches that share items with `entry`: a trainer submits
+   * incomplete groups again in a later batch. Without their output so far, the
+   * items would be generated again from the start.
    */
   private async loadEarlier(entry: IndexedBatch): Promise<void> {
     const indexed = this.listIndexed();
@@ -301,7 +301,7 @@
     }
   }
 
-  /** Batches that the index has, of all partitions. */
+  /** Lists the indexed batches of all partitions. */
   private listIndexed(): readonly IndexedBatch[] {
     const replicaList = this.deps.replicas.openAll();
     return replicaList.flatMap(replica => [...replica.index.entries]);
@@ -336,7 +336,7 @@
     this.decide();
   }
 
-  /** Decides once for all that happens within a few ms. */
+  /** Schedules one decision for all events within the next few ms. */
   private scheduleDecision(): void {
     if (this.isDecisionScheduled) return;
     this.isDecisionScheduled = true;
@@ -361,7 +361,7 @@
     return services.flatMap(({name}) => roster.listUsable(name, clock.now()));
   }
 
-  /** Leaves the items to the VM that runs them too. */
+  /** Stops all runs because another VM has taken over the items. */
   private onSuperseded(foreign: number): void {
     this.supersededMs = this.deps.clock.now();
     if (this.liveRuns.size === 0) return;
@@ -407,7 +407,8 @@
     void crashes.isFit(entry, getFingerprint).then(isFit => {
       if (!this.liveRuns.has(run.id)) return;
       if (isFit) this.generate(run, entry);
-      else this.endRun(run, 'unreachable', 'the engine is gone');
+      else
+        this.endRun(run, 'unreachable', 'the engine did not answer the probe');
     });
   }
 
@@ -450,7 +451,7 @@
     const {model} = run.job.batch.batch;
     this.fleet.recordVersion(run.engineId, model, event.version);
     if (this.scheduler.onEvent(run, event, nowMs)) return;
-    // A gap or a repeat: what this stream says can not be joined to the rest.
+    // The event is a repeat or comes after a gap, so it can not extend the text.
     this.logRun(run, 'run out of order', `event ${event.id}`);
     this.stopRun(run);
   }
@@ -491,11 +492,11 @@
     this.scheduleDecision();
   }
 
-  /** Whether the item must not run now, or not before a crash beside it is known or not. */
-  private isHeld(job: Job): boolean {
+  /** Whether the item must not run now: it is quarantined, or an inquiry is open into a crash of an endpoint that had it in flight. */
+  private isBlocked(job: Job): boolean {
     const {crashes} = this.deps;
-    const name = () => this.fingerprint(job);
-    return crashes.isHeld(name) || crashes.isAsked(name);
+    const getFingerprint = () => this.fingerprint(job);
+    return crashes.isHeld(getFingerprint) || crashes.isAsked(getFingerprint);
   }
 
   private fingerprint(job: Job): string {
--- a/packages/daemon/src/gateway/batches/batch_topics.ts
+++ b/packages/daemon/src/gateway/batches/batch_topics.ts
@@ -1,11 +1,11 @@
-/** Topics of batches in the log; a batch stands in the same partition of each. */
+/** Topics of the log that store batches. A batch uses the same partition in each. */
 
-/** What every VM that is asked reads: batches and the places of their results. */
+/** Batches and the locations of their results; read by every VM that answers callers. */
 export const INDEX_TOPIC = 'batch_index';
-/** Submissions and texts, read only at the places that the index names. */
+/** Submissions and texts; read only at the locations that the index names. */
 export const PAYLOAD_TOPIC = 'batch_payloads';
-/** Output of items that run, for a coordinator that takes over. */
+/** Output of running items, for a coordinator that takes over. */
 export const PROGRESS_TOPIC = 'batch_progress';
 
-/** Batches are forgotten this long after their submission, ms: callers may read for 120 s, and clocks of VMs differ. */
+/** Retention of a batch after its submission, ms. Callers may read it for 120 s; the rest allows for clock differences between VMs. */
 export const BATCH_RETENTION_MS = 180_000;
--- a/packages/daemon/src/gateway/batches/failover_watch.ts
+++ b/packages/daemon/src/gateway/batches/failover_watch.ts
@@ -1,41 +1,46 @@
 /**
- * Notices on a coordinator that is cut off from the log that another VM has
+ * Detects, on a coordinator that is cut off from the log, that another VM has
  * taken over its items.
  *
- * Both would run them otherwise, which fills the engines with work that counts
- * for nothing: the one that is cut off can not write results down. While the log
- * is away for all VMs nobody takes over, and what runs should go on; so the log's
- * silence alone does not tell. The engines do: they report how much they run.
+ * Otherwise both VMs would run the same items, and the runs of the one that is
+ * cut off would waste engine capacity, since it can not write results. If the log
+ * is down for all VMs, nobody takes over and the runs should continue, so a
+ * silent log alone does not indicate a failover. The engines report how many requests
+ * they run, which shows the runs of another coordinator.
  */
 
 import type {EndpointEntry} from '@radishyoke/core/fleet/endpoint_entry';
 import type {EngineReport} from '../endpoints/endpoint_protocol.js';
 
-/** Engines are asked once the log has been silent this long, ms: a successor claims after 1.1 s and needs a moment to start runs. */
+/** Engines are queried once the log has been silent for this long, ms. Another VM claims the lease after 1.1 s and needs a moment to start runs. */
 const QUERY_SILENCE_MS = 1300;
-/** Engines asked in one round; the runs of a successor are spread over many. */
+/** Engines queried per round. The runs of another coordinator are spread over many engines, so a few are enough. */
 const MAX_QUERIED = 8;
-/** Runs of others are a successor's if they are this many at least, and this part of one's own: it takes over all open items, and reports lag by what ended in some hundred ms. */
+/**
+ * Foreign runs indicate a failover if there are at least this many, and they are
+ * at least `FOREIGN_SHARE` of the own runs: a new coordinator runs all open items.
+ * Fewer may be own runs that have ended, since reports lag by a few hundred ms.
+ */
 const MIN_FOREIGN_RUNS = 6;
 const FOREIGN_SHARE = 0.5;
-/** Rounds in a row that must find them: a run that moves is reported twice for a moment. */
+/** Consecutive rounds that must find enough foreign runs, because a run that moves between engines is briefly reported by both. */
 const MIN_ROUNDS = 2;
 
 export interface FailoverDeps {
   readonly fetchReport: (
     entry: EndpointEntry,
   ) => Promise<EngineReport | undefined>;
-  /** Own runs on an engine. */
+  /** Counts this VM's runs on an engine. */
   readonly countOwnRuns: (engineId: string) => number;
-  /** Steady ms. */
+  /** Returns the steady time, ms. */
   readonly now: () => number;
-  /** Steady ms of the last contact with the log. */
+  /** Returns the steady ms of the last contact with the log. */
   readonly getContactMs: () => number;
   readonly listEngines: () => readonly EndpointEntry[];
   readonly onSuperseded: (foreignRuns: number) => void;
 }
 
-/** Runs on the engines that were asked. */
+/** Runs on the queried engines. */
 interface RunCounts {
   readonly own: number;
   readonly foreign: number;
@@ -47,7 +52,7 @@
 
   constructor(private readonly deps: FailoverDeps) {}
 
-  /** Looks whether there is a reason to ask the engines, and asks; to be called often. */
+  /** Queries the engines if the log has been silent long enough. Called periodically. */
   async check(): Promise<void> {
     const silentMs = this.deps.now() - this.deps.getContactMs();
     if (silentMs <= QUERY_SILENCE_MS) this.positiveRounds = 0;
--- a/packages/daemon/src/gateway/batches/generation.ts
+++ b/packages/daemon/src/gateway/batches/generation.ts
@@ -1,6 +1,6 @@
 /**
- * One run of an item on an engine, as a stream of events. Only whole events are
- * handed on: an engine may break off in the middle of one.
+ * Runs one item on an engine and reads its output as a stream of events. Only
+ * complete events are passed on, since an engine may fail in the middle of one.
  */
 
 import http from 'node:http';
@@ -22,7 +22,7 @@
   onEnd(end: RunEnd, detail: string): void;
 }
 
-/** A connection must be made within this time, ms; distances are a few ms. */
+/** Time limit for connecting to an engine, ms. Round trips take a few ms. */
 const CONNECT_TIMEOUT_MS = 400;
 
 export class Generation {
@@ -42,7 +42,7 @@
   ) {
     this.parser = createParser({
       onEvent: event => this.handleEvent(event.id, event.data),
-      // A change of the weight version stands in a field of its own.
+      // The protocol reports a new weight version in an event field of its own.
       onError: err => {
         if (err.type === 'unknown-field')
           this.handleField(err.field, err.value);
@@ -70,7 +70,7 @@
     this.req.end(item.body);
   }
 
-  /** Ends the run; the engine drops it when its connection closes. */
+  /** Stops the run. The engine drops it when the connection closes. */
   stop(): void {
     this.end('stopped', 'stopped');
     this.req.destroy();
@@ -94,7 +94,7 @@
       facts.stamp === undefined ||
       res.headers['content-encoding'] !== undefined
     ) {
-      return this.reject('broken', 'the answer is not the engine its own');
+      return this.reject('broken', 'the answer does not come from the engine');
     }
     this.version = facts.weightVersion;
     res.setEncoding('utf8');
@@ -106,7 +106,7 @@
     });
   }
 
-  /** Reads the rest of a failure, so that its connection can be used again. */
+  /** Reads the rest of an error answer, so that the connection can be reused. */
   private drain(res: http.IncomingMessage, end: RunEnd, status: number): void {
     res.on('error', () => undefined);
     res.resume();
@@ -126,10 +126,10 @@
     if (this.hasEnded) return;
     const eventId = Number(id);
     if (id === undefined || !Number.isInteger(eventId)) {
-      return this.reject('broken', 'an event has no number');
+      return this.reject('broken', 'an event has no numeric id');
     }
     if (this.version === undefined) {
-      return this.reject('broken', 'the weight version is not stated');
+      return this.reject('broken', 'the answer states no weight version');
     }
     this.events.onEvent({id: eventId, data, version: this.version});
   }
--- a/packages/daemon/src/gateway/batches/index_replica.ts
+++ b/packages/daemon/src/gateway/batches/index_replica.ts
@@ -1,8 +1,8 @@
 /**
- * This VM's copy of the index of one partition of batches. It is read on demand:
- * a caller's question is answered after the index was read to its end once,
- * counted from the question, so every VM answers alike without following
- * everything. Texts are read where a caller asks for them and are not kept.
+ * Keeps this VM's replica of the batch index of one partition. The replica is
+ * synchronized on demand: before a call is answered, the index is read up to its
+ * end at that time, so all VMs give the same answer without following every
+ * partition. Texts are read when a caller requests them and are not cached.
  */
 
 import {
@@ -25,11 +25,11 @@
 import {PayloadLog} from './payload_log.js';
 import type {LogStore, StoredRecord} from '../store/log_store.js';
 
-/** How long a follower lets the log wait for news, ms; a connection that has gone silent hides news this long and a call more. */
+/** Long poll of a follower, ms. A connection that has gone silent hides new records for this long plus one call. */
 const FOLLOW_WAIT_MS = 900;
 /** Pause of a follower after a failed read, ms. */
 const RETRY_MS = 100;
-/** Records that are applied before other tasks get a turn. */
+/** Records that are applied before the event loop gets a chance to run other tasks. */
 const SLICE_RECORDS = 64;
 
 export type SyncOutcome =
@@ -63,8 +63,8 @@
   }
 
   /**
-   * Reads to the end as of now. Questions that come while a read is under way
-   * share the next one: that under way may have begun before them.
+   * Reads the index up to its present end. Calls made during a read share the
+   * next read, since the current one may have passed the end before they came.
    */
   sync(): Promise<SyncOutcome> {
     if (!this.currentSync) {
@@ -80,7 +80,7 @@
     return this.nextSync;
   }
 
-  /** Waits up to `waitMs` for a record behind those known. */
+  /** Waits up to `waitMs` for a record after the last one applied. */
   async waitForRecords(
     waitMs: number,
     signal?: AbortSignal,
@@ -90,8 +90,8 @@
   }
 
   /**
-   * The results from position `after` on, of `maxBytes` of output at most but
-   * one at least.
+   * Returns the results from position `after` on, limited to `maxBytes` of
+   * output. At least one result is returned if there is any.
    */
   async readResults(
     {results}: IndexedBatch,
@@ -108,7 +108,7 @@
     return this.readTexts(page);
   }
 
-  /** `listed` with their texts, in the same order. */
+  /** Adds the texts to `listed`; keeps the order. */
   async readTexts(
     listed: readonly ListedResult[],
   ): Promise<Result<readonly ItemResult[]>> {
@@ -118,7 +118,7 @@
     return succeed(listed.map((result, i) => addText(result, texts.value[i])));
   }
 
-  /** The batch as it was submitted. */
+  /** Reads the batch as it was submitted. */
   async readSubmission({
     header,
     payload,
@@ -133,7 +133,7 @@
     }
   }
 
-  /** Applies records as they come, until `signal`. */
+  /** Applies records as they arrive, until `signal` aborts. */
   async follow(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
       const outcome = await this.readOnce(FOLLOW_WAIT_MS, signal);
@@ -183,7 +183,7 @@
 
   private async applyAll(records: readonly StoredRecord[]): Promise<void> {
     for (const [index, {offset, bytes}] of records.entries()) {
-      // Two reads may be under way at once and bring the same records.
+      // Concurrent reads may return the same records.
       if (offset < this.nextOffset) continue;
       this.nextOffset = offset + 1;
       this.applyOne(bytes, offset);
@@ -225,7 +225,7 @@
   };
 }
 
-/** All partitions of this VM. */
+/** The index replicas of all partitions on this VM, created on first use. */
 export class IndexReplicas {
   private readonly byPartition = new Map<number, IndexReplica>();
 
@@ -234,7 +234,7 @@
     private readonly logger: EventLogger,
   ) {}
 
-  /** The partition that keeps `batchId`; the same on every VM. */
+  /** Returns the replica of the partition that stores `batchId`, which is the same one on every VM. */
   locate(batchId: string): IndexReplica {
     let hash = 0;
     for (let i = 0; i < batchId.length; i++) {
--- a/packages/daemon/src/gateway/batches/item_log.ts
+++ b/packages/daemon/src/gateway/batches/item_log.ts
@@ -1,4 +1,4 @@
-/** Writes down what becomes of items while they run, for callers and for whoever takes over. */
+/** Writes the progress and results of running items to the log, for callers and for a coordinator that takes over. */
 
 import type {Job} from '@radishyoke/core/batches/batch_job';
 import type {ItemResult} from '@radishyoke/core/batches/batch_record';
@@ -8,7 +8,7 @@
 
 type FailureKind = 'attempt_failed' | 'attempt_impossible' | 'reward_failed';
 
-/** Of one partition. */
+/** The writers of one partition. */
 interface Writers {
   readonly index: IndexWriter;
   readonly progress: ProgressWriter;
@@ -21,7 +21,7 @@
   constructor(
     private readonly store: LogStore,
     private readonly replicas: IndexReplicas,
-    /** Names the coordinator in the results that it lists. */
+    /** Identifies this coordinator in the results that it writes. */
     private readonly writer: string,
   ) {}
 
@@ -35,13 +35,13 @@
     );
   }
 
-  /** An endpoint answered that an attempt, or a reward call, failed. */
+  /** Records that an endpoint answered an attempt or a reward call with a failure. */
   writeFailure(kind: FailureKind, job: Job): void {
     const {id: batchId} = job.batch.batch;
     this.openWriters(batchId).index.write({kind, batchId, itemId: job.item.id});
   }
 
-  /** Writes the events that came since the last time. */
+  /** Writes the events that were added since the last write. */
   writeProgress(job: Job): void {
     const {recordedEvents} = job;
     const isNew = job.transcript.events.length > recordedEvents;
@@ -50,16 +50,17 @@
   }
 
   /**
-   * A coordinator that takes over while the score is under way must not make
-   * the text again. The last event goes along even if it was written before, as
-   * it is what the mark stands behind.
+   * Marks the text of an item as complete, so that a coordinator that takes over
+   * before the score arrives does not generate the text again. The last
+   * event is written again if necessary, since the position of the mark in the
+   * text follows from it.
    */
   writeCompleteText(job: Job): void {
     const last = job.transcript.events.length - 1;
     this.writeText(job, Math.min(job.recordedEvents, last), true);
   }
 
-  /** Writes the events of a text from the one at `from` on. */
+  /** Writes the events of a text from index `from` on. */
   private writeText(job: Job, from: number, isWhole: boolean): void {
     const {events} = job.transcript;
     const {id: batchId} = job.batch.batch;
--- a/packages/daemon/src/gateway/batches/payload_log.ts
+++ b/packages/daemon/src/gateway/batches/payload_log.ts
@@ -1,7 +1,7 @@
 /**
- * Submissions and texts as bytes in the log. They are most of what the log
- * holds, so they are read only where somebody asks for them: a VM that knows
- * nothing reads the index, not the texts of all steps before.
+ * Stores submissions and texts in the log. They are most of the bytes in the
+ * log, so they are read only when they are requested: a VM that has just started
+ * reads the index, not the texts of all earlier steps.
  */
 
 import type {
@@ -13,23 +13,23 @@
 import type {AppendOutcome, LogStore} from '../store/log_store.js';
 import {PAYLOAD_TOPIC} from './batch_topics.js';
 
-/** Bytes of the log by the offset of their record. */
+/** Bytes of records by offset. */
 type RecordsByOffset = Map<number, Uint8Array>;
 
-/** Where payloads were stored, or why they were not. */
+/** The locations of stored payloads, or the reason why they were not stored. */
 export type StoreOutcome =
   | {readonly kind: 'stored'; readonly refs: readonly PayloadRef[]}
   | {readonly kind: 'failed'; readonly error: RadishyokeError};
 
-/** Room that a read needs for what stands before a record, bytes. */
+/** Bytes that the log adds to each record in the answer to a read. */
 const RECORD_OVERHEAD_BYTES = 8;
 
 export class PayloadLog {
   constructor(private readonly store: LogStore) {}
 
   /**
-   * Stores `payloads` once. After a failure none of them counts, though bytes of
-   * them may stand: nothing refers to these.
+   * Stores `payloads` without retries. After a failure some of their bytes may
+   * be in the log, but no reference to them is returned.
    */
   async append(
     partition: number,
@@ -52,7 +52,7 @@
     return {kind: 'stored', refs};
   }
 
-  /** The bytes at each of `refs`. */
+  /** Reads the payload of each reference in `refs`. */
   async read(
     partition: number,
     refs: readonly PayloadRef[],
@@ -65,7 +65,7 @@
     return succeed(refs.map(ref => joinParts(ref, found)));
   }
 
-  /** Reads records that follow each other; says what went wrong, if anything did. */
+  /** Reads the records of a contiguous range into `found`; returns the error if a read failed. */
   private async readContiguous(
     partition: number,
     run: readonly PayloadPart[],
@@ -89,7 +89,7 @@
     return undefined;
   }
 
-  /** A payload may be larger than a record. */
+  /** Splits a payload that may be larger than one record of the log. */
   private cut(payload: Uint8Array): readonly Uint8Array[] {
     const {maxRecordBytes} = this.store;
     const parts: Uint8Array[] = [];
@@ -107,7 +107,7 @@
   return createError('log_unavailable', 'conflict');
 }
 
-/** Groups records so that each group fits one append. */
+/** Groups records so that each group fits into one append. */
 function groupIntoAppends(
   records: readonly Uint8Array[],
   maxBytes: number,
@@ -125,7 +125,7 @@
   return calls;
 }
 
-/** Parts by offset, those that follow each other together. */
+/** Sorts parts by offset and groups those with consecutive offsets. */
 function groupContiguous(
   parts: readonly PayloadPart[],
 ): ReadonlyArray<readonly PayloadPart[]> {
--- a/packages/daemon/src/gateway/batches/record_writer.ts
+++ b/packages/daemon/src/gateway/batches/record_writer.ts
@@ -1,7 +1,6 @@
 /**
- * Appends records of one partition, gathered into few calls. Records of batches
- * count once however often they stand, so an append without an answer is simply
- * made again.
+ * Appends the records of one partition in few calls. Duplicates of a batch
+ * record have no effect, so an append that got no answer is retried.
  */
 
 import type {
@@ -22,29 +21,29 @@
 import {PayloadLog} from './payload_log.js';
 import type {LogStore} from '../store/log_store.js';
 
-/** Records are gathered this long before a call, ms: short against the 500 ms between two reads of a trainer. */
+/** Records are buffered this long before a call, ms; short compared to the 500 ms between two reads of a trainer. */
 const BUFFER_MS = 30;
 /** Pause after a failed append, ms. */
 const RETRY_MS = 120;
-/** Records that wait may take this much memory, bytes; the oldest are the ones a trainer waits for, so newer are dropped and their items run again. */
+/** Memory limit for records that wait to be written, bytes. When it is reached, new records are dropped and their items run again, because a trainer waits for the oldest ones. */
 const MAX_QUEUED_BYTES = 16 * 1024 * 1024;
 
-/** Groups of results of one partition under way at once: one whose answer is lost must not hold up those behind it. Their order is of no matter. */
+/** Concurrent appends of results in one partition, so that one whose answer is lost does not block the next ones. Their order does not matter. */
 const MAX_INDEX_WRITES = 4;
-/** Progress stays this long, ms: the text of an item that runs for longer is made again by a successor. */
+/** Retention of progress records, ms. After a failover, the text of an item that has run for longer is generated again. */
 const PROGRESS_RETENTION_MS = 60_000;
 
-/** Where a writer's records go, and how. */
+/** Where and how a writer stores its records. */
 interface WriterOptions {
   readonly partition: number;
-  /** Is trimmed of what is older than `keepMs`. */
+  /** The topic whose records are trimmed once they are older than `retentionMs`. */
   readonly topic: string;
   readonly retentionMs: number;
-  /** Groups of records that may be under way at once; 1 keeps their order. */
+  /** Maximum number of concurrent appends; 1 preserves the order. */
   readonly maxWrites: number;
 }
 
-/** A queue of what is to stand in the log, written a few at a time. */
+/** Queues entries and appends them to the log in groups. */
 abstract class BufferedWriter<T> {
   private pending: T[] = [];
   private pendingBytes = 0;
@@ -64,13 +63,13 @@
     return this.options.partition;
   }
 
-  /** Appends all of `entries`; false where that is to be tried again. */
+  /** Appends all of `entries`; returns false if the append must be retried. */
   protected abstract append(entries: readonly T[]): Promise<boolean>;
 
-  /** Bytes that `entry` takes in the log, about. */
+  /** Returns the approximate size of `entry` in the log, bytes. */
   protected abstract measure(entry: T): number;
 
-  /** Queues `entry`; false where too much waits already. */
+  /** Queues `entry`; returns false if the queue is full. */
   protected queue(entry: T): boolean {
     const bytes = this.measure(entry);
     if (this.pendingBytes + bytes > MAX_QUEUED_BYTES) return false;
@@ -80,14 +79,14 @@
     return true;
   }
 
-  /** A record of the topic stands at `offset`. */
+  /** Records that the topic has a record at `offset`, and trims expired records before it. */
   protected recordAppended(offset: number): void {
     const before = this.marks.recordAppend(offset, performance.now());
     if (before === undefined) return;
     void this.store.trim(this.options.topic, this.partition, before);
   }
 
-  /** Drops what waits and is not on its way. */
+  /** Stops retries and drops the entries whose append has not started. */
   stop(): void {
     this.isStopped = true;
     this.pending = [];
@@ -128,7 +127,7 @@
   }
 }
 
-/** Writes the output of items that run. */
+/** Writes the output of running items. */
 export class ProgressWriter extends BufferedWriter<Uint8Array> {
   constructor(store: LogStore, partition: number) {
     const topic = PROGRESS_TOPIC;
@@ -140,7 +139,7 @@
     });
   }
 
-  /** Queues `record`; false where too much waits already. */
+  /** Queues `record`; returns false if the queue is full. */
   write(record: ProgressRecord): boolean {
     return this.queue(encodeRecord(record));
   }
@@ -160,21 +159,21 @@
 
 type ResultRecord = Extract<IndexRecord, {kind: 'result'}>;
 
-/** A record of the index without the place of its text, and that text. */
+/** An index record that does not have the location of its text yet, and the text. */
 interface PendingRecord {
   readonly record: Exclude<IndexRecord, {kind: 'accepted'}>;
   readonly text: Uint8Array;
-  /** Bytes of the record. */
+  /** Size of the encoded record, bytes. */
   readonly bytes: number;
 }
 
 /**
- * Writes what becomes of items into the index. The texts go first: a reader who
- * finds a result in the index finds its text too.
+ * Writes results, failures and ends to the index. Texts are stored first, so the
+ * text of every result in the index can be read.
  */
 export class IndexWriter extends BufferedWriter<PendingRecord> {
   private readonly payloads: PayloadLog;
-  /** Where texts of entries stand that are on their way. */
+  /** Locations of the texts of entries whose append to the index is not confirmed yet. */
   private readonly storedTexts = new WeakMap<
     readonly PendingRecord[],
     readonly PayloadRef[]
@@ -192,13 +191,13 @@
     this.payloads = new PayloadLog(store);
   }
 
-  /** Queues `record`; false where too much waits already. */
+  /** Queues `record`; returns false if the queue is full. */
   write(record: Exclude<IndexRecord, {kind: 'accepted'}>): boolean {
     const text = new Uint8Array();
     return this.queue({record, text, bytes: encodeRecord(record).length});
   }
 
-  /** Queues a result and its text; false where too much waits already. */
+  /** Queues a result and its text; returns false if the queue is full. */
   writeResult(
     batchId: string,
     listed: Omit<ListedResult, 'text'>,
@@ -229,7 +228,7 @@
     return outcome.kind === 'appended';
   }
 
-  /** Texts that stand are not sent again when the index did not answer. */
+  /** Stores the texts of `entries`, once only: a retry of the append to the index reuses the locations. */
   private async storeTexts(
     entries: readonly PendingRecord[],
   ): Promise<readonly PayloadRef[] | undefined> {
--- a/packages/daemon/src/gateway/batches/reward_task.ts
+++ b/packages/daemon/src/gateway/batches/reward_task.ts
@@ -1,6 +1,6 @@
 /**
- * Makes the reward calls that the coordinator decides on: the VM that saw the
- * end of a text asks for its score at once, without a way through the log.
+ * Makes the reward calls of the coordinator. They start as soon as a text is
+ * complete, without a detour through the log.
  */
 
 import type {Job} from '@radishyoke/core/batches/batch_job';
@@ -47,17 +47,17 @@
 
 export interface RewardEvents {
   onScore(job: Job, score: string): void;
-  /** An endpoint answered that the call failed; `attempts` of these are enough. */
+  /** An endpoint answered that the call failed; the job is given up after `attempts` of these failures. */
   onFailed(job: Job, attempts: number): void;
-  /** A call ended without news of its job: another one may start. */
+  /** A call ended without a result for its job, so another call may start. */
   onFree(): void;
 }
 
-/** Time that one call may take where its rule states none, ms. */
+/** Time limit of one call if its rule has none, ms. */
 const DEFAULT_TIMEOUT_MS = 3000;
-/** The endpoint gets this much less than the call waits, ms: its answer has to travel back. */
+/** Subtracted from the time limit to get the endpoint's deadline, ms, so that its answer can arrive in time. */
 const ANSWER_TRAVEL_MS = 20;
-/** The status that says that an endpoint ran the call and it failed; others, such as its own time-out, may pass. */
+/** The status of an endpoint that ran the call and failed. Other statuses, such as the endpoint's own time-out, may be temporary. */
 const FAILED_STATUS = 500;
 
 export class RewardTask {
@@ -72,7 +72,7 @@
     this.scheduler = new RewardScheduler(deps.dataCentre);
   }
 
-  /** Starts and cancels calls for `jobs`, the most urgent first. */
+  /** Starts and cancels calls for `jobs`, which are ordered by urgency, the most urgent first. */
   decide(jobs: readonly Job[]): void {
     if (this.isStopped) return;
     const nowMs = performance.now();
@@ -126,7 +126,8 @@
     const end = isCancelled
       ? {kind: 'cancelled' as const}
       : classifyOutcome(outcome);
-    // A few texts can not be scored anywhere; that tells nothing of the endpoint.
+    // Some texts can not be scored by any endpoint, so a failed call does not
+    // count against this one.
     const reflectsEndpoint = end.kind !== 'cancelled' && end.kind !== 'failed';
     if (reflectsEndpoint) view.noteOutcome(entry, outcome, now());
     if (outcome.kind === 'unknown') links.renew(entry.id);
@@ -139,10 +140,10 @@
     exchange: EndpointExchange,
   ): Promise<ExchangeOutcome> {
     const {crashes} = this.deps;
-    const name = () => fingerprintReward(job, reward);
-    const isFit = await crashes.isFit(entry, name);
+    const getFingerprint = () => fingerprintReward(job, reward);
+    const isFit = await crashes.isFit(entry, getFingerprint);
     if (!isFit || exchange.isAborted) return ENDPOINT_GONE;
-    const watched = crashes.begin(entry, name);
+    const watched = crashes.begin(entry, getFingerprint);
     const timeoutMs = this.computeTimeoutMs(job, reward);
     const timer = setTimeout(() => exchange.giveUp(), timeoutMs);
     const headers = this.deps.protocol.rewardHeaders(reward, {
@@ -186,7 +187,7 @@
     }
   }
 
-  /** Failures that are enough: neither the item's rule nor that of the call may be cut short. */
+  /** Returns the number of failures after which the job is given up: the larger limit of the item's rule and the call's rule. */
   private getMaxAttempts(job: Job, reward: RewardRequest): number {
     const own = this.findRoute(reward)?.attempts ?? 1;
     return Math.max(own, job.batch.terms?.attempts ?? 1);
--- a/packages/daemon/src/gateway/control/control_api.ts
+++ b/packages/daemon/src/gateway/control/control_api.ts
@@ -1,12 +1,12 @@
 /**
- * The calls that the platform takes from one VM at a time, in the gateway's own
- * terms. What the platform did with a call that got no answer is not known, and
- * it may still do it seconds later.
+ * The platform calls that only one VM at a time may make, as an interface that
+ * platform adapters implement. If a call gets no answer, its outcome is unknown:
+ * the platform may still carry it out seconds later.
  */
 
 import type {UsageReport} from '@radishyoke/core/usage/usage_record';
 
-/** As whom a call is made. */
+/** Identifies the VM that makes a call and its term as the coordinator. */
 export interface CallCredentials {
   readonly vmName: string;
   readonly fencingToken: number;
@@ -14,13 +14,13 @@
 
 export type ControlAnswer =
   | 'accepted'
-  /** The platform has seen a higher token. */
+  /** The platform refused the call because it has seen a higher fencing token. */
   | 'fenced'
-  /** Nothing was done; it may be asked again. */
+  /** The call was not carried out and may be retried. */
   | 'busy'
-  /** Nothing was done, and asking again changes nothing. */
+  /** The call was not carried out, and a retry would be refused as well. */
   | 'refused'
-  /** It may have been done, or may be yet. */
+  /** The call may have been carried out, or may still be. */
   | 'unknown';
 
 export abstract class ControlApi {
--- a/packages/daemon/src/gateway/engines/__tests__/engine_fleet.spec.ts
+++ b/packages/daemon/src/gateway/engines/__tests__/engine_fleet.spec.ts
@@ -17,10 +17,10 @@
   return {roster, list};
 }
 
-// Items reach an engine that is being emptied, and are lost when it goes.
-// 1. An engine says that it is draining, or its entry is gone for good.
-// 2. The coordinator decides from its view of the engines.
-test('an engine that drains or is gone is none that may be given items', t => {
+// Guards against items that are sent to an engine that is draining and are lost
+// when it stops. The coordinator schedules from its tracked engines, so it must
+// leave out an engine that reports that it drains or whose entry is removed.
+test('an engine that drains or is gone is not given items', t => {
   const {roster, list} = createFleet();
   roster.put({...createEntry(PORT), id: 'stays'}, 0);
   roster.put({...createEntry(PORT), id: 'drains'}, 1);
@@ -31,6 +31,10 @@
     3,
   );
   roster.remove('goes', 4, 0);
-  t.deepEqual(list(GRACE_MS - 1), ['stays', 'goes'], 'it may be back');
+  t.deepEqual(
+    list(GRACE_MS - 1),
+    ['stays', 'goes'],
+    'a removed entry may come back',
+  );
   t.deepEqual(list(GRACE_MS), ['stays']);
 });
--- a/packages/daemon/src/gateway/engines/__tests__/weight_task.spec.ts
+++ b/packages/daemon/src/gateway/engines/__tests__/weight_task.spec.ts
@@ -9,14 +9,14 @@
 import {WeightTask, type WeightDeps} from '../weight_task.js';
 
 const MODELS = ['m0', 'm1', 'm2'];
-/** Engines begin with version 1, which no open step may use any more. */
+/** Engines start with version 1, which is too old for any open step. */
 const NEWEST = 3;
 const GRACE_MS = 1000;
 const PORT = 1;
 
 /**
- * A coordinator whose engines never answer, so that whatever it began to load
- * goes on. The first `loadedCount` engines have the newest weights.
+ * Creates the weight task of a coordinator whose engines never answer, so that
+ * started loads never end. The first `loadedCount` engines have the newest weights.
  */
 function createWeights(engineCount: number, loadedCount = 0) {
   const roster = new EndpointRoster(GRACE_MS);
@@ -30,12 +30,12 @@
   const engine = {slots: 4, kvTokens: 1000, models: MODELS, tokensPerEvent: 1};
   const spec = {name: service, healthPath: '/', maxConnections: 10, engine};
   const table = {engines: [spec], cfg: {routes: []}} as unknown as RouteTable;
-  const asked: string[] = [];
-  let looks = 0;
+  const queried: string[] = [];
+  let snapshots = 0;
   const task = new WeightTask({
     lease: {
       createOrderCheck: () => {
-        looks += 1;
+        snapshots += 1;
         return () => true;
       },
     },
@@ -43,7 +43,7 @@
     fleet,
     reports: {
       fetch: (entry: EndpointEntry) => {
-        asked.push(entry.id);
+        queried.push(entry.id);
         return new Promise(() => undefined);
       },
     },
@@ -53,27 +53,28 @@
   } as unknown as WeightDeps);
   return {
     tick: () => task.tick(table, fleet.describe([spec], 0)),
-    asked,
-    countLooks: () => looks,
+    queried,
+    countSnapshots: () => snapshots,
   };
 }
 
-// Guards against two orders to one engine at a time, for two models.
+// Guards against concurrent orders to one engine for two models.
 test('an engine that begins to load one model is not ordered for another', t => {
-  // Of the 11 engines that each model should have, 8 have its weights.
-  const {tick, asked} = createWeights(34, 8);
+  // Each model should have 11 engines, and 8 have its weights.
+  const {tick, queried} = createWeights(34, 8);
   tick();
-  t.is(asked.length, 9);
-  t.is(new Set(asked).size, 9);
+  t.is(queried.length, 9);
+  t.is(new Set(queried).size, 9);
 });
 
-// Guards against a coordinator of a large fleet that spends its processor time on engines of which none may load now.
-test('while as many engines load as may, the others are not looked at', t => {
-  const {tick, asked, countLooks} = createWeights(1000);
+// Guards against a coordinator of a large fleet that spends its processor time on
+// engines although none of them may start a load now.
+test('other engines are not examined while the maximum number of engines load', t => {
+  const {tick, queried, countSnapshots} = createWeights(1000);
   tick();
-  const began = asked.length;
-  const looks = countLooks();
+  const began = queried.length;
+  const snapshots = countSnapshots();
   for (let i = 0; i < 5; i++) tick();
-  t.is(asked.length, began);
-  t.is(countLooks(), looks);
+  t.is(queried.length, began);
+  t.is(countSnapshots(), snapshots);
 });
--- a/packages/daemon/src/gateway/engines/engine_fleet.ts
+++ b/packages/daemon/src/gateway/engines/engine_fleet.ts
@@ -1,4 +1,4 @@
-/** What the coordinator knows of the engines: the list's word, and what it learned since. */
+/** Tracks the engines on the coordinator: their entries in the list, and what reports, runs and orders have shown since. */
 
 import type {EngineView} from '@radishyoke/core/batches/engine_health';
 import type {EndpointEntry} from '@radishyoke/core/fleet/endpoint_entry';
@@ -6,15 +6,15 @@
 import type {ServiceSpec} from '@radishyoke/core/routing/route_table';
 import type {EngineReport} from '../endpoints/endpoint_protocol.js';
 
-/** An engine that is not heard to have finished a load for this long is taken to have, ms. */
+/** A load is assumed to have ended after this time if no report shows its end, ms. */
 const MAX_LOAD_MS = 6000;
 
 interface EngineState {
   startedAtMs: number;
   readonly versions: Map<string, number>;
-  /** Models that load, with the steady ms at which the order was accepted. */
+  /** Models that are being loaded, with the steady ms at which the load was recorded. */
   readonly loading: Map<string, number>;
-  /** Orders accepted, as far as known. */
+  /** Number of accepted orders that this VM has learned of. */
   orders: number;
 }
 
@@ -23,7 +23,7 @@
 
   constructor(private readonly roster: EndpointRoster) {}
 
-  /** Engines of `services` that may get work; leaving ones are not among them. */
+  /** Lists the engines of `services` that may be given items; draining ones are left out. */
   describe(
     services: readonly ServiceSpec[],
     nowMs: number,
@@ -46,7 +46,7 @@
     return views;
   }
 
-  /** Takes the versions of a list entry. */
+  /** Records the weight versions of a list entry. */
   recordEntry(entry: EndpointEntry): void {
     const state = this.openState(entry);
     for (const {model, version} of entry.models) {
@@ -62,14 +62,15 @@
     }
   }
 
-  /** An event of a run was made under `version`: nothing is more certain. */
+  /** Records the version of an engine as it is; an event that was made under `version` is the most reliable source. */
   recordVersion(engineId: string, model: string, version: number): void {
     this.states.get(engineId)?.versions.set(model, version);
   }
 
   /**
-   * The engine should have finished a load by now. Its report says so some
-   * hundred ms later; until then items are tried, and refused where it has not.
+   * Records a load as finished because its expected time is over. The engine's
+   * report shows the end a few hundred ms later; until then items are sent, and
+   * the engine refuses them if it is still loading.
    */
   assumeLoaded(entry: EndpointEntry, model: string, version: number): void {
     const state = this.openState(entry);
@@ -77,12 +78,12 @@
     state.loading.delete(model);
   }
 
-  /** The engine is about to load `model`, or does. */
+  /** Records that the engine is loading `model` or is about to. */
   recordLoadStart(entry: EndpointEntry, model: string, nowMs: number): void {
     this.openState(entry).loading.set(model, nowMs);
   }
 
-  /** The engine accepted an order. */
+  /** Counts an order that the engine accepted. */
   countOrder(entry: EndpointEntry): void {
     this.openState(entry).orders += 1;
   }
@@ -110,7 +111,7 @@
     return new Set(state.loading.keys());
   }
 
-  /** Versions only rise: reports lag, and a restart keeps the version. */
+  /** Raises the version, never lowers it: reports lag, and a restart keeps the version. */
   private raiseVersion(
     state: EngineState,
     model: string,
--- a/packages/daemon/src/gateway/engines/engine_reports.ts
+++ b/packages/daemon/src/gateway/engines/engine_reports.ts
@@ -1,4 +1,4 @@
-/** Asks engines for their own word on their weights, orders and runs. */
+/** Fetches the reports of engines on their weights, orders and runs. */
 
 import type {EndpointEntry} from '@radishyoke/core/fleet/endpoint_entry';
 import type {EventLogger} from '../../logger.js';
@@ -10,7 +10,7 @@
 import {callOnce} from '../endpoints/http_call.js';
 import type {EngineFleet} from './engine_fleet.js';
 
-/** An engine answers a report within this time, ms. */
+/** Time limit for fetching a report, ms. */
 const REPORT_TIMEOUT_MS = 400;
 
 export class EngineReports {
@@ -21,7 +21,7 @@
     private readonly logger: EventLogger,
   ) {}
 
-  /** The engine's report, or undefined if none came that concerns this life of it. */
+  /** Fetches the engine's report; returns undefined if none came, or if it is of another incarnation of the engine. */
   async fetch(entry: EndpointEntry): Promise<EngineReport | undefined> {
     const call = this.protocol.reportCall();
     const outcome = await callOnce(this.links.open(entry), {
@@ -42,7 +42,7 @@
       });
       return undefined;
     }
-    // The address may belong to a later life by now.
+    // The engine may have restarted at the same address.
     if (report.value.bornMs !== entry.startedAtMs) return undefined;
     this.fleet.recordReport(entry, report.value);
     return report.value;
--- a/packages/daemon/src/gateway/engines/lease_task.ts
+++ b/packages/daemon/src/gateway/engines/lease_task.ts
@@ -1,6 +1,7 @@
 /**
- * Keeps this VM's view of the coordinator's lease, and the lease itself while it
- * is held. The holder runs batches and orders weights; every VM may become it.
+ * Follows the coordinator's lease, claims it when it is free, and renews it while
+ * this VM holds it. The holder runs batches and orders weight loads. Every VM may
+ * become the holder.
  */
 
 import {
@@ -19,9 +20,9 @@
 
 /**
  * A holder that dies is replaced about 1.2 s after its last renewal, so that a
- * step of 7.5 s survives it. Of the renewals in that time one may get lost. An
- * announced order has the 400 ms that an append may take, the 200 that it
- * travels, and 50 for a busy VM.
+ * step of 7.5 s survives a failover. One renewal in that time may get lost. The
+ * window of an announced order is the sum of the 400 ms that an append may take,
+ * the 200 ms that the order may take to arrive, and 50 ms for delays on a busy VM.
  */
 export const LEASE_TIMING: LeaseTiming = {
   renewMs: 300,
@@ -30,20 +31,20 @@
   orderWindowMs: 650,
 };
 
-/** A renewal without an answer for this long is made again, ms: over the 320 of a slow log, and short enough for a second one within the silence. */
+/** Time limit of one append, ms. It exceeds the 320 ms of a slow log, and leaves time for a second renewal before `silenceMs` is over. */
 const APPEND_TIMEOUT_MS = 400;
-/** An announced order must arrive within its window: it is begun this long before the end of it, ms, which is what an order waits for its connection and answer and a little more. */
+/** An announced order must arrive within its window, so it is sent at least this long before the end, ms: a little more than the time limit for the connection and answer of an order. */
 const ORDER_TRAVEL_MS = 200;
-/** How often the lease decides, ms. */
+/** Interval between decisions about the lease, ms. */
 const TICK_MS = 50;
-/** Long polls of the lease's partition wait this long, ms. */
+/** Duration of a long poll of the lease's partition, ms. */
 const LONG_POLL_MS = 600;
-/** Pause of a standby between reads, ms: it needs each renewal, but not at once. */
+/** Pause between reads at the end of the partition, ms: renewals must be seen, but not immediately. */
 const READ_PAUSE_MS = 150;
 const RETRY_MS = 100;
-/** Added to the time between the orders of two holders, ms: clocks of two VMs do not run quite alike. */
+/** Added to the time between the orders of two holders, ms, since the clocks of two VMs run at slightly different rates. */
 const ORDER_SLACK_MS = 50;
-/** Records of the lease that are kept, as history for whoever looks into a fault. */
+/** Records of the lease that are kept as history for the analysis of faults. */
 const KEPT_RECORDS = 500;
 /** Renewals between two trims of the partition. */
 const RENEWALS_PER_TRIM = 200;
@@ -51,11 +52,11 @@
 export interface LeaseConfig {
   /** Unique for each start of this process. */
   readonly incarnationId: string;
-  /** Added to the silence that this VM waits for before it claims, ms. */
+  /** Added to the silence after which this VM claims the lease, ms. */
   readonly claimDelayMs: number;
-  /** Between the last order of one holder and the first of the next, ms. */
+  /** Minimum time between the last order of one holder and the first of the next, ms. */
   readonly orderLeaseMs: number;
-  /** Whether engines refuse orders with an older token than they have seen. */
+  /** Whether engines refuse orders whose fencing token is older than one they have seen. */
   readonly isFencingEnforced: boolean;
 }
 
@@ -65,21 +66,21 @@
   private readonly abort = new AbortController();
   private wasCoordinator = false;
   private isCaughtUp = false;
-  /** Whether everything was read at some time in this life. */
+  /** Whether the partition has been read to its end at least once since this process started. */
   private wasCaughtUp = false;
   private isReleased = false;
   private renewals = 0;
   private contactMs = -Infinity;
-  /** Orders wait until this steady time after a suspension. */
+  /** Steady ms at which the last suspension was noticed; orders are paused after it for the validity of a lease. */
   private resumedMs = -Infinity;
-  /** Engines whose orders wait for their announcement, with what ends the wait. */
+  /** By engine, the callback that ends the wait of an order for its announcement. */
   private readonly announcements = new Map<string, () => void>();
 
   constructor(
     private readonly store: LogStore,
     private readonly clock: VmClock,
     private readonly cfg: LeaseConfig,
-    /** Whether this VM knows enough to run batches. */
+    /** Whether this VM has the configuration and the endpoints that it needs to run batches. */
     private readonly canCoordinate: () => boolean,
     private readonly onChange: (isCoordinator: boolean) => void,
     private readonly logger: EventLogger,
@@ -98,7 +99,7 @@
     void this.maintain();
   }
 
-  /** Whether this VM runs batches. */
+  /** Whether the log names this VM as the holder and it has not released the lease. */
   get isCoordinator(): boolean {
     return this.lease.isNamedHolder() && !this.isReleased;
   }
@@ -109,11 +110,11 @@
   }
 
   /**
-   * Tells which engines this VM may order now, once the order is announced. A new
-   * holder waits until orders of those before it are a whole lease old, since an
-   * engine must never hear two holders by turns. After a holder that gave up by
-   * itself there is nothing to wait for where engines check tokens: an order of
-   * it that is still on its way is refused by its older token.
+   * Returns a check of which engines this VM may order now, once the order is
+   * announced. An engine must never receive orders of two holders alternately, so
+   * a new holder waits until orders of earlier holders are older than
+   * `orderLeaseMs`. It need not wait if the earlier holder released the lease and
+   * engines check fencing tokens: they refuse its late orders by the older token.
    */
   createOrderCheck(): (engineId: string) => boolean {
     const nowMs = this.clock.now();
@@ -128,7 +129,7 @@
     return engineId => this.lease.measureQuietMs(engineId, nowMs) >= waitMs;
   }
 
-  /** Writes down that the engine is about to be ordered; says whether the order may be given now. */
+  /** Announces an order to the engine in the log; returns whether the order may be sent now. */
   async announceOrder(engineId: string): Promise<boolean> {
     const announced = new Promise<void>(resolve =>
       this.announcements.set(engineId, resolve),
@@ -143,7 +144,7 @@
     );
   }
 
-  /** Gives the lease up so that another VM takes over at once. */
+  /** Releases the lease, so that another VM takes over at once. */
   async release(): Promise<void> {
     const wasCoordinator = this.isCoordinator;
     this.isReleased = true;
@@ -173,8 +174,8 @@
       );
       const nowMs = this.clock.now();
       if (outcome.kind === 'failed') {
-        // What happened while this VM was cut off is not known, so the silence
-        // that a claim needs begins when it reads again.
+        // Records may have been missed while reads failed, so the silence that a
+        // claim requires starts anew when a read succeeds.
         this.isCaughtUp = false;
         await sleep(RETRY_MS);
         continue;
@@ -214,7 +215,7 @@
     }
   }
 
-  /** Appends what the lease asks for now. */
+  /** Appends the record that the lease requires now, if any. */
   private async advance(): Promise<void> {
     const nowMs = this.clock.now();
     this.checkSuspension(nowMs);
@@ -226,11 +227,12 @@
     if (action.kind !== 'append') return;
     await this.append(action.record, action.at);
     this.settleAnnouncements(action.record.engines ?? []);
-    // Orders that came up while a renewal was under way do not wait for a tick.
+    // Orders that were added during the append are announced without waiting for
+    // the next tick.
     if (this.announcements.size > 0) await this.advance();
   }
 
-  /** Those who wait look for themselves whether their order may be given. */
+  /** Ends the waits for announcements. The waiting calls check whether their order may be sent. */
   private settleAnnouncements(engines: readonly string[]): void {
     for (const id of engines) {
       const resolve = this.announcements.get(id);
--- a/packages/daemon/src/gateway/engines/weight_task.ts
+++ b/packages/daemon/src/gateway/engines/weight_task.ts
@@ -1,7 +1,7 @@
 /**
- * Moves engines to new weights. One instance on the coordinator: it alone gives
- * orders, with the fencing token of its term. What an engine did is judged by
- * its own report, since an answer may be lost and an order carried out late.
+ * Orders engines to load new weights. Only the coordinator sends orders, with the
+ * fencing token of its term. The effect of an order is read from the engine's
+ * report, since its answer may be lost and an order may be carried out late.
  */
 
 import {setTimeout as sleep} from 'node:timers/promises';
@@ -43,24 +43,24 @@
   readonly links: EndpointLinks;
   readonly protocol: EndpointProtocol;
   readonly scheduler: BatchScheduler;
-  /** Newest versions that trainers named. */
+  /** Newest weight version that a trainer has published, by model. */
   readonly newestVersions: ReadonlyMap<string, number>;
   readonly metrics: GatewayMetrics;
   readonly vmName: string;
   readonly logger: EventLogger;
 }
 
-/** One engine that is to have one version. */
+/** A version that one engine is to load. */
 interface LoadTarget {
   readonly entry: EndpointEntry;
   readonly model: string;
   readonly version: number;
   readonly mode: LoadMode;
-  /** Whether an order got no answer, and so may be carried out any time. */
+  /** Whether an order got no answer, so that it may still be carried out. */
   isUnanswered: boolean;
 }
 
-/** What all engines are judged by at one moment. */
+/** Facts that are the same for all engines at one time. */
 interface FleetSnapshot {
   /** Steady ms. */
   readonly nowMs: number;
@@ -69,39 +69,39 @@
   readonly mayOrder: (engineId: string) => boolean;
 }
 
-/** What follows one try to load. */
+/** How to continue after one attempt to load. */
 type LoadStep = 'again' | 'over' | 'hopeless';
 
-/** Engines that serve one model at least: one alone would stop its trainer when it loads or fails. */
+/** Minimum number of engines per model. With a single one, its trainer would stall whenever the engine loads or fails. */
 const MIN_ENGINES = 2;
-/** Runs that a model brings to an engine with its newest version. */
+/** Expected runs of a model on an engine that has the model's newest version. */
 const RUNS_PER_MODEL = 8;
-/** An engine answers an order in a few ms; without an answer the same order is sent again, which is void if the first was accepted. */
+/** Time limit for the answer to an order, ms. Engines answer in a few ms. Without an answer the same order is sent again, and it is void if the first one was accepted. */
 const ORDER_TIMEOUT_MS = 150;
-/** Reports tell of the end of a load about this much late, ms. */
+/** Approximate delay until reports show the end of a load, ms. */
 const REPORT_DELAY_MS = 250;
-/** Pause between looks at the end of a load, ms. */
+/** Pause between polls of an engine's report, ms. */
 const POLL_PAUSE_MS = 150;
-/** A look that takes longer than this, its pause included, says nothing of the length of a load, ms. */
+/** A poll that takes longer than this, including its pause, is not used to measure the time of a load, ms. */
 const MAX_POLL_MS = 2 * POLL_PAUSE_MS;
-/** After this many looks a report that shows no load and no new version is believed: it has caught up. */
+/** After this many polls, reports have caught up: one that shows neither a load nor the new version is trusted. */
 const SETTLED_POLLS = 4;
-/** Looks until a load is given up and begun anew. */
+/** Polls after which a load is abandoned and started anew. */
 const MAX_POLLS = 24;
-/** Reports lag by some hundred ms, so an order in conflict with another is judged this long after it, ms. */
+/** Pause while an engine is occupied by another order, ms. Reports lag by a few hundred ms, so an earlier report would not show a change. */
 const REPORT_LAG_MS = 450;
-/** Orders to one engine that may go wrong in a row before it is left alone for a while. */
+/** Attempts to load on one engine, after which no orders are sent to it for a while. */
 const MAX_TRIES = 6;
-/** Pause after that, ms. */
+/** Pause after `MAX_TRIES` failed attempts at an engine, ms. */
 const FAILED_ENGINE_PAUSE_MS = 1500;
 
 export class WeightTask {
-  /** Loads that go on, by engine. */
+  /** Running loads, by engine. */
   private readonly activeLoads = new Map<string, LoadTarget>();
   private readonly pausedUntilMs = new Map<string, number>();
   private isStopped = false;
   private readonly pace = new LoadLimiter();
-  /** Engines that may load at once, by service. */
+  /** Number of engines that may load at the same time, by service. */
   private readonly limits = new Map<string, number>();
 
   constructor(private readonly deps: WeightDeps) {}
@@ -110,7 +110,7 @@
     this.isStopped = true;
   }
 
-  /** Starts whatever loads are due; called often. */
+  /** Starts the loads that are due. Called periodically. */
   tick(table: RouteTable, engines: readonly EngineView[]): void {
     if (this.isStopped) return;
     for (const service of table.engines) {
@@ -171,7 +171,7 @@
   ): void {
     const {roster} = this.deps;
     const maxMore = limit - this.activeLoads.size;
-    // What was just started for another model is out of reach.
+    // Engines that have just started a load for another model are busy.
     const open = candidates.map(candidate =>
       !candidate.isBusy && this.activeLoads.has(candidate.id)
         ? {...candidate, isBusy: true}
@@ -222,7 +222,7 @@
       });
   }
 
-  /** Other models whose newest version an engine has: their runs will come there. */
+  /** Counts the other models whose newest version an engine has, since their runs will be sent to it. */
   private countOtherModels(
     model: string,
     service: ServiceSpec,
@@ -240,7 +240,7 @@
   private async load(target: LoadTarget): Promise<void> {
     const {entry, model} = target;
     this.activeLoads.set(entry.id, target);
-    // Before the order: what runs there moves away first.
+    // Recorded before the order, so that runs on the engine are moved away first.
     this.deps.fleet.recordLoadStart(entry, model, performance.now());
     try {
       await this.loadUntilDone(target);
@@ -262,7 +262,7 @@
     );
   }
 
-  /** One look at the engine, and one order if it is due. */
+  /** Reads the engine's report, and sends an order if one is due. */
   private async tryLoad(target: LoadTarget): Promise<LoadStep> {
     const {entry, model, version} = target;
     const report = await this.deps.reports.fetch(entry);
@@ -273,7 +273,8 @@
     }
     if (hasVersion(report, model, version)) return 'over';
     if (report.isBusy) {
-      // An order of ours that got no answer, or one for another model.
+      // The engine carries out an order of this load that got no answer, or an
+      // order for another model.
       if (target.isUnanswered) return this.watchLoad(target);
       await sleep(REPORT_LAG_MS);
       return 'again';
@@ -311,8 +312,9 @@
   }
 
   /**
-   * Waits for the end of a load. Items go to the engine as soon as it should be done: to wait for its report would leave it
-   * idle for a third of the time that the load took.
+   * Waits for the end of a load. Items are sent to the engine once the expected
+   * time is over: waiting for its report would leave it idle for a third of the
+   * time of the load.
    */
   private async watchLoad(target: LoadTarget): Promise<LoadStep> {
     const {fleet} = this.deps;
@@ -342,8 +344,9 @@
   }
 
   /**
-   * A look that itself took long, as on a busy VM, does not tell when the load
-   * ended, and an order that got no answer not when it began.
+   * Records the measured time of a load. It is not known when the load ended if
+   * the last poll took long, as on a busy VM, or when it began if an order got no
+   * answer; such loads are not recorded.
    */
   private recordLoadTime(
     {entry, isUnanswered}: LoadTarget,
--- a/packages/daemon/src/gateway/gateway.ts
+++ b/packages/daemon/src/gateway/gateway.ts
@@ -1,7 +1,7 @@
 /**
- * One VM of the service before a platform that keeps configuration, endpoints
- * and batches in its log. Wires the tasks together and sees them start and stop
- * in order.
+ * The gateway process of one VM, for a platform that stores configuration,
+ * endpoints and batches in its log. Creates the tasks, connects them, and starts
+ * and stops them in order.
  */
 
 import type {EndpointEntry} from '@radishyoke/core/fleet/endpoint_entry';
@@ -37,28 +37,28 @@
 
 export interface GatewayConfig {
   readonly vmName: string;
-  /** Unique for each start of a process. */
+  /** Unique for each start of the process. */
   readonly incarnationId: string;
   readonly dataCentre: string;
-  /** `ip:port` for callers. */
+  /** Listen address for callers, `ip:port`. */
   readonly frontAddress: string;
-  /** `ip:port` for the balancer's questions. */
+  /** Listen address for the readiness checks of the load balancer, `ip:port`. */
   readonly readyAddress: string;
-  /** Path of the readiness question. */
+  /** Path of the readiness check. */
   readonly readyPath: string;
-  /** `ip:port` of the metrics; none are served without. */
+  /** Listen address for metrics, `ip:port`. Without it no metrics are served. */
   readonly metricsAddress?: string;
-  /** Between the last order of one coordinator and the first of the next, ms. */
+  /** Minimum time between the last order of one coordinator and the first of the next, ms. */
   readonly orderLeaseMs: number;
-  /** Whether engines refuse orders with an older token than they have seen. */
+  /** Whether engines refuse orders whose fencing token is older than one they have seen. */
   readonly isFencingEnforced: boolean;
-  /** Time between a request to stop and the end, ms. */
+  /** Time limit from a request to stop until the process ends, ms. */
   readonly graceMs: number;
   /** Added to the silence after which this VM claims the lease, ms. */
   readonly claimDelayMs: number;
-  /** A key is served at most so long after it was last known to hold, ms; without a bound where undefined. */
+  /** Maximum time for which an API key is accepted after it was last confirmed as valid, ms; unlimited if undefined. */
   readonly maxKeyAgeMs?: number;
-  /** Present where usage is to be reported. */
+  /** Present if usage is reported. */
   readonly usage?: UsageTerms;
 }
 
@@ -67,25 +67,25 @@
   readonly directory: PlatformDirectory;
   readonly callers: CallerProtocol;
   readonly endpoints: EndpointProtocol;
-  /** Present where the platform asks the coordinator for calls of its own. */
+  /** Present if the platform has calls that only the coordinator makes. */
   readonly control?: ControlApi;
   readonly logger: EventLogger;
 }
 
-/** The list of endpoints is read this long after its last news, ms: endpoints write all the time, and a change may take 2 s to count. */
+/** Pause after a read of the endpoint list that returned records, ms. Endpoints write to it all the time, and a change may take up to 2 s to have effect. */
 const ROSTER_GATHER_MS = 350;
-/** The configuration is read at once, bursts aside, ms. */
+/** Pause after a read of the configuration that returned records, ms: only long enough to combine bursts. */
 const CONFIG_GATHER_MS = 30;
-/** A read that the log holds longer than this is given up with its connection: one that has gone silent must not hide a change for longer than a change may take, 2 s. */
+/** Long poll of the configuration and the endpoint list, ms. A read that takes longer is abandoned with its connection, so that a silent connection does not hide a change for more than the 2 s within which it must have effect. */
 const FEED_WAIT_MS = 700;
-/** An endpoint whose entry vanished is used this much longer, ms; endpoints serve on for 2 s at least, and an entry that was lost with its store is back as soon. */
+/** An endpoint stays in use for this long after its entry was removed, ms. Endpoints keep serving for at least 2 s, and an entry that the store lost reappears within that time. */
 const GONE_GRACE_MS = 1200;
-/** Without a word from the log for this long the VM asks the balancer to leave it out, ms; below this every slow answer would do so. */
+/** The VM reports that it is not ready once the log has been silent for this long, ms. With a lower limit a single slow answer would be enough. */
 const MAX_LOG_SILENCE_MS = 1800;
 const SWEEP_MS = 500;
-/** The balancer asks once a second and needs two refusals: after this long no new connection comes, ms. */
+/** Time until the load balancer sends no new connections, ms. It checks once a second and removes a VM after two failed checks. */
 const BALANCER_REMOVAL_MS = 3200;
-/** Kept of the grace period for the last answers to travel, ms. */
+/** Part of the grace period that is reserved for delivering the last answers, ms. */
 const GRACE_SLACK_MS = 600;
 
 export class Gateway {
@@ -220,7 +220,7 @@
     );
   }
 
-  /** Opens the listeners and starts to follow the log, unless asked to stop meanwhile. */
+  /** Opens the listeners and starts to follow the log. If `stop` is called meanwhile, the start is abandoned. */
   start(): Promise<void> {
     this.starting ??= this.open();
     return this.starting;
@@ -247,21 +247,21 @@
     });
   }
 
-  /** Whether configuration and endpoints have been read. */
+  /** Whether the configuration and the endpoint list have been read. */
   private get hasDeployment(): boolean {
     return this.config.table !== undefined && this.isRosterKnown;
   }
 
-  /** Whether the balancer should send callers here. */
+  /** Whether the load balancer should send callers to this VM. */
   get isReady(): boolean {
     if (this.isStopping || !this.hasDeployment) return false;
     return this.clock.now() - this.lastContactMs < MAX_LOG_SILENCE_MS;
   }
 
   /**
-   * Stops without cutting off a request. Whoever asks again waits for the same
-   * end: a supervisor, or an operator beside it, may ask twice, and a second
-   * call that ended at once took the requests in flight with it.
+   * Stops after the requests in flight have finished. Further calls, such as from
+   * a supervisor and an operator, wait for the same end: if a second call resolved
+   * at once, the process would end and cut off the requests in flight.
    */
   stop(): Promise<void> {
     if (this.ending) {
@@ -278,13 +278,13 @@
     const {logger} = this.deps;
     logger.log('info', 'stopping', {vm: this.cfg.vmName});
     if (this.isServing) await this.drain();
-    // A start that is under way gives up once its listeners are open.
+    // A start in progress notices the stop once its listeners are open.
     else await this.starting?.catch(() => undefined);
     this.close();
     logger.log('info', 'stopped', {vm: this.cfg.vmName});
   }
 
-  /** The balancer is told first and goes on sending for two of its questions, so the VM serves on until then. */
+  /** Reports the VM as not ready, then keeps serving until the load balancer has removed it and the requests in flight have finished, within the grace period. */
   private async drain(): Promise<void> {
     const endMs = this.clock.now() + this.cfg.graceMs - GRACE_SLACK_MS;
     this.front.startDrain();
@@ -314,7 +314,7 @@
     this.store.close();
   }
 
-  /** Steady ms of the last word from the log. */
+  /** Steady ms of the last answer from the log. */
   private get lastContactMs(): number {
     return Math.max(this.contactMs, this.lease.lastContactMs);
   }
@@ -445,7 +445,7 @@
     this.usageTask.start();
   }
 
-  /** Ends what only the coordinator does. */
+  /** Stops the tasks that only the coordinator runs. */
   private stopCoordinating(): void {
     this.runner?.stop();
     this.runner = undefined;
--- a/packages/daemon/src/gateway/gateway_metrics.ts
+++ b/packages/daemon/src/gateway/gateway_metrics.ts
@@ -1,15 +1,17 @@
 /**
- * Counters and latency histograms of the gateway, as text for a scraper. Series
- * are bounded: their labels are rules, kinds of calls and kinds of outcomes.
+ * Counters, gauges and latency histograms of the gateway, rendered as text for a
+ * scraper. Label values are rules, accounts, kinds of calls and outcomes, and the
+ * number of series is limited.
  */
 
-// The package's main module also loads its log writer, a number formatter and a
-// compressor, which cost a fifth of the memory of a VM that has just started.
+// Imports one module of the package, since its main module also loads a log
+// writer, a number formatter and a compressor, which take a fifth of the memory
+// of a VM that has just started.
 import histograms from 'hdr-histogram-js/dist/Int16Histogram.js';
 
 type LatencyHistogram = InstanceType<typeof histograms.default>;
 
-/** What is counted by outcome and timed, with the name of its label. */
+/** Families of series that are counted by outcome and timed, with their label and latency names. */
 const FAMILIES = {
   requests: {label: 'route', latency: 'latency_ms'},
   accounts: {label: 'account', latency: 'account_latency_ms'},
@@ -25,12 +27,12 @@
   readonly latency: LatencyHistogram;
 }
 
-/** Latencies up to here are told apart; a route's own time limit is far below. */
+/** Initial upper bound of the histograms, ms; the time limits of routes are far below it. */
 const MAX_LATENCY_MS = 60_000;
-/** Significant digits kept: 1 in 100 is finer than any threshold on them. */
+/** Significant digits of recorded latencies. A precision of 1% is finer than any threshold on them. */
 const LATENCY_DIGITS = 2;
 const QUANTILES: readonly number[] = [50, 90, 99];
-/** Labels of one family at most; rules that were removed keep theirs until the next start. */
+/** Maximum number of series over all families. Series of removed rules stay until the process restarts. */
 const MAX_SERIES = 500;
 
 export class GatewayMetrics {
@@ -38,7 +40,7 @@
   private readonly counters = new Map<string, number>();
   private readonly gauges = new Map<string, () => number>();
 
-  /** Counts one thing of a family that ended as `result` after `tookMs`. */
+  /** Counts one `result` in the series `name` of a family, and records its latency. */
   recordResult(
     family: ResultFamily,
     name: string,
@@ -55,12 +57,12 @@
     this.counters.set(name, (this.counters.get(name) ?? 0) + by);
   }
 
-  /** Shows what `read` returns whenever the metrics are asked for. */
+  /** Registers a gauge whose value `read` returns at each scrape. */
   registerGauge(name: string, read: () => number): void {
     this.gauges.set(name, read);
   }
 
-  /** All metrics in the text format that scrapers read. */
+  /** Renders all metrics in the Prometheus text format. */
   render(): string {
     const lines: string[] = [];
     for (const [name, value] of this.counters) {
--- a/packages/daemon/src/gateway/log_sink.ts
+++ b/packages/daemon/src/gateway/log_sink.ts
@@ -1,15 +1,15 @@
 /**
- * Takes log lines without ever blocking on whoever reads them. Node.js writes to
- * a pipe synchronously, so a reader that stalls would stall the VM; here lines
- * are gathered, written off the main thread one buffer at a time, and dropped
- * with a count when too many wait.
+ * Writes log lines without ever blocking on their reader. Node.js writes to a
+ * pipe synchronously, so a stalled reader would stall the VM. Lines are buffered,
+ * written off the main thread one buffer at a time, and dropped and counted when
+ * the buffer is full.
  */
 
 import {write} from 'node:fs';
 
-/** Lines that wait may hold this many characters; about a second at the heaviest load seen. */
+/** Maximum size of the buffered lines, characters; about one second at the highest load measured. */
 const MAX_WAITING_CHARS = 512 * 1024;
-/** Lines are gathered this long before one write, ms; a write costs as much as ten lines. */
+/** Lines are buffered this long before a write, ms. One write costs about as much as ten lines. */
 const BUFFER_MS = 100;
 
 export class LogSink {
@@ -18,10 +18,10 @@
   private dropped = 0;
   private dropReporter: ((dropped: number) => void) | undefined;
   private timer: NodeJS.Timeout | undefined;
-  /** The write under way. */
+  /** Resolves when the write in progress has finished. */
   private writing: Promise<void> | undefined;
 
-  /** @param fd Where lines go; 1 is standard output. */
+  /** @param fd File descriptor that lines are written to; 1 is standard output. */
   constructor(private readonly fd: number) {}
 
   readonly write = (line: string): void => {
@@ -35,19 +35,20 @@
   };
 
   /**
-   * Tells of lines that were dropped by `report`, which writes a line as any
-   * other, with VM and time. A count without them could not be put beside the
-   * lines of other VMs, nor be told apart from theirs.
+   * Sets the function that logs the number of dropped lines. It must write an
+   * ordinary log line with VM and time, so that the count can be attributed and
+   * correlated when the logs of several VMs are merged.
    */
   setDropReporter(report: (dropped: number) => void): void {
     this.dropReporter = report;
   }
 
-  /** Writes what waits; resolves when all of it is written. */
+  /** Writes all buffered lines; resolves when they are written. */
   async flush(): Promise<void> {
     clearTimeout(this.timer);
     this.timer = undefined;
-    // Lines that came during a write would be lost with the process otherwise.
+    // Lines added during a write must be written too, or they would be lost when
+    // the process ends.
     while (this.writing) await this.writing;
     while (this.waiting.length > 0) await this.writeWaiting();
   }
@@ -56,7 +57,7 @@
     const text = Buffer.from(`${this.waiting.join('\n')}\n`);
     this.waiting = [];
     this.waitingChars = 0;
-    // Now there is room for the line about it.
+    // The buffer is empty now, so the line about dropped lines fits.
     this.reportDropped();
     this.writing = new Promise(resolve => this.writeAll(text, resolve));
     return this.writing;
@@ -65,15 +66,15 @@
   private schedule(): void {
     this.timer ??= setTimeout(() => {
       this.timer = undefined;
-      // What comes during a write is gathered anew when it is done.
+      // Lines added during a write are scheduled when it has finished.
       if (!this.writing && this.waiting.length > 0) void this.writeWaiting();
     }, BUFFER_MS);
   }
 
   private writeAll(bytes: Buffer, resolve: () => void): void {
     write(this.fd, bytes, (err, written) => {
-      // EAGAIN: the reader is slow; what is left is tried again. Any other
-      // error means that nobody reads any more, and there is no one to tell.
+      // EAGAIN means that the reader is slow, so the rest is retried. Any other
+      // error means that the reader is gone, and there is nowhere to report it.
       const isRetryable = err?.code === 'EAGAIN';
       const left = err ? bytes : bytes.subarray(written);
       if (left.length > 0 && (!err || isRetryable)) {
--- a/packages/daemon/src/gateway/vm_clock.ts
+++ b/packages/daemon/src/gateway/vm_clock.ts
@@ -1,21 +1,21 @@
 /**
- * Tells when this VM was suspended. The steady clock stands still meanwhile and
- * the time of day does not, so a lease would seem to hold when it has long been
- * taken over. It shows as the two clocks drifting apart.
+ * Detects suspensions of this VM. The steady clock stops during a suspension
+ * while the time of day continues, so a lease could seem valid after another VM
+ * has taken it over. A suspension shows as drift between the two clocks.
  */
 
-/** Drift that counts as a suspension, ms; less than any lease is trusted for, more than a clock is adjusted by. */
+/** Drift above which a suspension is assumed, ms. It is less than the validity of any lease and more than a usual clock adjustment. */
 const SUSPENSION_MS = 200;
 
 export class VmClock {
   private offsetMs = Date.now() - performance.now();
 
-  /** Milliseconds of the steady clock. */
+  /** Returns the time of the steady clock, ms. */
   now(): number {
     return performance.now();
   }
 
-  /** How far the time of day ran ahead of the steady clock since the last call, ms; 0 for none. */
+  /** Returns the drift between the two clocks since the last call if it indicates a suspension, otherwise 0; ms. */
   takeSuspensionMs(): number {
     const offsetMs = Date.now() - performance.now();
     const driftMs = Math.abs(offsetMs - this.offsetMs);
@@ -23,7 +23,7 @@
     return driftMs > SUSPENSION_MS ? driftMs : 0;
   }
 
-  /** The steady time of `unixMs`. */
+  /** Converts Unix ms to steady ms. */
   toSteady(unixMs: number): number {
     return this.now() + (unixMs - Date.now());
   }
