--- a/packages/daemon/src/gateway/__tests__/gateway_fixtures.ts
+++ b/packages/daemon/src/gateway/__tests__/gateway_fixtures.ts
@@ -15,7 +15,7 @@
 import type {ProbeTarget} from '../crashes/endpoint_probe.js';
 import {GatewayMetrics} from '../gateway_metrics.js';
 import {
-  type AnswerFacts,
+  type AnswerMetadata,
   type EndpointCall,
   EndpointProtocol,
   type EngineReport,
@@ -64,7 +64,7 @@
     return {id: reward.id, 'for-endpoint': terms.endpointId};
   }
 
-  readAnswer(headers: IncomingHttpHeaders): AnswerFacts {
+  readAnswer(headers: IncomingHttpHeaders): AnswerMetadata {
     const version = headers['version'];
     return {
       attemptId: headers['id'] as string | undefined,
@@ -87,7 +87,7 @@
     return {method: 'POST', path: '/order', headers: {}};
   }
 
-  judgeOrder(): OrderAnswer {
+  decodeOrderAnswer(): OrderAnswer {
     return 'refused';
   }
 }
@@ -99,7 +99,7 @@
 ): CrashWatch {
   return new CrashWatch({
     book,
-    news: {tell: () => undefined},
+    publisher: {publish: () => undefined},
     metrics: new GatewayMetrics(),
     logger: silentLogger,
     probe: async target => isReachable(target),
@@ -203,7 +203,7 @@
     topic: string,
     partition: number,
     records: readonly Uint8Array[],
-    {at}: AppendOptions = {},
+    {expectedEndOffset}: AppendOptions = {},
   ): Promise<AppendOutcome> {
     this.appends += 1;
     const plan = this.appendPlans.shift();
@@ -212,7 +212,7 @@
     if (plan === 'unknown') return {kind: 'unknown', error};
     const stored = this.open(topic, partition);
     const offset = stored.length;
-    if (at !== undefined && at !== offset) {
+    if (expectedEndOffset !== undefined && expectedEndOffset !== offset) {
       return {kind: 'conflict', endOffset: offset};
     }
     stored.push(...records);
--- a/packages/daemon/src/gateway/batches/batch_runner.ts
+++ b/packages/daemon/src/gateway/batches/batch_runner.ts
@@ -402,9 +402,9 @@
     }
     this.logRun(run, 'run started', reason);
     const getFingerprint = () => this.fingerprint(run.job);
-    if (!crashes.isSuspect(getFingerprint)) return this.generate(run, entry);
+    if (!crashes.isSuspected(getFingerprint)) return this.generate(run, entry);
     this.liveRuns.set(run.id, {run});
-    void crashes.isFit(entry, getFingerprint).then(isFit => {
+    void crashes.maySendTo(entry, getFingerprint).then(isFit => {
       if (!this.liveRuns.has(run.id)) return;
       if (isFit) this.generate(run, entry);
       else
@@ -421,9 +421,11 @@
     const expectVersion = terms.singleVersion
       ? this.fleet.getVersion(entry.id, job.batch.batch.model)
       : undefined;
-    const watched = this.deps.crashes.begin(entry, () => this.fingerprint(job));
+    const watched = this.deps.crashes.recordStart(entry, () =>
+      this.fingerprint(job),
+    );
     const generation = new Generation(
-      links.open(entry),
+      links.getAgent(entry),
       protocol,
       entry,
       job.item,
@@ -437,7 +439,7 @@
       },
       {
         onEvent: event => {
-          watched.noteEvent();
+          watched.recordEvent();
           this.handleEvent(run, {...event, run: run.id});
         },
         onEnd: (end, detail) => this.endRun(run, end, detail),
@@ -474,7 +476,7 @@
     this.logEnd(run, end, detail);
     this.deps.metrics.count(`run_${end}`);
     if (end === 'broken' || end === 'unreachable') {
-      this.deps.links.renew(run.engineId);
+      this.deps.links.closeIdle(run.engineId);
     }
     if (live && end !== 'finished') this.itemLog.writeProgress(run.job);
     if (end === 'failed') this.itemLog.writeFailure('attempt_failed', run.job);
@@ -496,7 +498,10 @@
   private isBlocked(job: Job): boolean {
     const {crashes} = this.deps;
     const getFingerprint = () => this.fingerprint(job);
-    return crashes.isHeld(getFingerprint) || crashes.isAsked(getFingerprint);
+    return (
+      crashes.isQuarantined(getFingerprint) ||
+      crashes.isBeingChecked(getFingerprint)
+    );
   }
 
   private fingerprint(job: Job): string {
--- a/packages/daemon/src/gateway/batches/reward_task.ts
+++ b/packages/daemon/src/gateway/batches/reward_task.ts
@@ -19,7 +19,7 @@
 } from '@radishyoke/core/routing/route_table';
 import type {EventLogger} from '../../logger.js';
 import type {CrashWatch} from '../crashes/crash_watch.js';
-import {judgeEnd} from '../crashes/watched_request.js';
+import {toWatchedEnd} from '../crashes/watched_request.js';
 import {
   ENDPOINT_GONE,
   EndpointExchange,
@@ -101,7 +101,10 @@
   private findEndpoints(job: Job, reward: RewardRequest, nowMs: number) {
     const {crashes} = this.deps;
     const getFingerprint = () => fingerprintReward(job, reward);
-    if (crashes.isHeld(getFingerprint) || crashes.isAsked(getFingerprint))
+    if (
+      crashes.isQuarantined(getFingerprint) ||
+      crashes.isBeingChecked(getFingerprint)
+    )
       return undefined;
     const route = this.findRoute(reward);
     const service = route && pickService(route, hashToUnitInterval(reward.id));
@@ -116,11 +119,15 @@
     const entry = roster.get(call.endpointId);
     if (!entry) return this.scheduler.onCallEnd(call, {kind: 'not_run'}, now());
     this.logStart(call);
-    const exchange = new EndpointExchange(links.open(entry), protocol, entry);
+    const exchange = new EndpointExchange(
+      links.getAgent(entry),
+      protocol,
+      entry,
+    );
     this.exchanges.set(call.number, exchange);
-    view.noteStart(entry);
+    view.recordStart(entry);
     const outcome = await this.exchange(call, entry, exchange);
-    view.noteEnd(entry);
+    view.recordEnd(entry);
     const isCancelled =
       !this.exchanges.delete(call.number) || exchange.isAborted;
     const end = isCancelled
@@ -129,8 +136,8 @@
     // Some texts can not be scored by any endpoint, so a failed call does not
     // count against this one.
     const reflectsEndpoint = end.kind !== 'cancelled' && end.kind !== 'failed';
-    if (reflectsEndpoint) view.noteOutcome(entry, outcome, now());
-    if (outcome.kind === 'unknown') links.renew(entry.id);
+    if (reflectsEndpoint) view.recordOutcome(entry, outcome, now());
+    if (outcome.kind === 'unknown') links.closeIdle(entry.id);
     this.finish(call, end, describeOutcome(outcome));
   }
 
@@ -141,9 +148,9 @@
   ): Promise<ExchangeOutcome> {
     const {crashes} = this.deps;
     const getFingerprint = () => fingerprintReward(job, reward);
-    const isFit = await crashes.isFit(entry, getFingerprint);
+    const isFit = await crashes.maySendTo(entry, getFingerprint);
     if (!isFit || exchange.isAborted) return ENDPOINT_GONE;
-    const watched = crashes.begin(entry, getFingerprint);
+    const watched = crashes.recordStart(entry, getFingerprint);
     const timeoutMs = this.computeTimeoutMs(job, reward);
     const timer = setTimeout(() => exchange.giveUp(), timeoutMs);
     const headers = this.deps.protocol.rewardHeaders(reward, {
@@ -159,7 +166,7 @@
       attemptId: reward.id,
     });
     clearTimeout(timer);
-    watched.end(judgeEnd(outcome.kind, exchange.isOwnEnd));
+    watched.end(toWatchedEnd(outcome.kind, exchange.isEndedLocally));
     return outcome;
   }
 
@@ -227,8 +234,8 @@
 function classifyOutcome(outcome: ExchangeOutcome): RewardEnd {
   switch (outcome.kind) {
     case 'answered': {
-      const {status, facts} = outcome.answer;
-      const {stamp} = facts;
+      const {status, metadata} = outcome.answer;
+      const {stamp} = metadata;
       if (isSuccess(status) && stamp !== undefined) {
         return {kind: 'scored', score: stamp};
       }
--- a/packages/daemon/src/gateway/crashes/__tests__/crash_news.spec.ts
+++ b/packages/daemon/src/gateway/crashes/__tests__/crash_replicator.spec.ts
@@ -8,43 +8,49 @@
 import {silentLogger} from '../../../logger.js';
 import {createKeyed, MemoryStore} from '../../__tests__/gateway_fixtures.js';
 import {decodeMarks, encodeMarks} from '../crash_codec.js';
-import {CrashNews} from '../crash_news.js';
+import {CrashReplicator} from '../crash_replicator.js';
 
 const MARK: CrashRecord = {endpointId: 'e1', atMs: Date.now(), weight: 2};
 
-function createNews(t: ExecutionContext, store = new MemoryStore()) {
+function createReplicator(t: ExecutionContext, store = new MemoryStore()) {
   const book = new CrashRegistry(0);
-  const heard: string[] = [];
-  const onNews = (fingerprint: string) => heard.push(fingerprint);
-  const news = new CrashNews(store, 'crashes', book, onNews, silentLogger);
-  t.teardown(() => news.stop());
-  return {book, news, store, heard};
+  const updated: string[] = [];
+  const onUpdate = (fingerprint: string) => updated.push(fingerprint);
+  const replicator = new CrashReplicator(
+    store,
+    'crashes',
+    book,
+    onUpdate,
+    silentLogger,
+  );
+  t.teardown(() => replicator.stop());
+  return {book, replicator: replicator, store, updated: updated};
 }
 
-async function waitUntil(isSo: () => boolean): Promise<void> {
-  for (let i = 0; i < 400 && !isSo(); i++) await sleep(10);
+async function waitUntil(isDone: () => boolean): Promise<void> {
+  for (let i = 0; i < 400 && !isDone(); i++) await sleep(10);
 }
 
 test('what is told stands in the log, and what is clear is withdrawn', async t => {
-  const {book, news, store} = createNews(t);
+  const {book, replicator, store} = createReplicator(t);
   book.merge('f', [MARK], Date.now());
-  news.tell('f');
+  replicator.publish('f');
   await waitUntil(() => store.keyedWrites.length === 1);
   const [{key, value}] = store.keyedWrites;
   t.is(key, 'f');
   t.deepEqual(decodeMarks(value!), {ok: true, value: [MARK]});
   book.clear('f');
-  news.tell('f');
+  replicator.publish('f');
   await waitUntil(() => store.keyedWrites.length === 2);
   t.deepEqual(store.keyedWrites[1], {key: 'f'});
 });
 
 // Guards against news that a log which is away has not taken.
 test('what the log did not take is written again', async t => {
-  const {book, news, store} = createNews(t);
+  const {book, replicator, store} = createReplicator(t);
   store.appendPlans.push('refused', 'unknown');
   book.merge('f', [MARK], Date.now());
-  news.tell('f');
+  replicator.publish('f');
   await waitUntil(() => store.keyedWrites.length === 1);
   t.is(store.keyedWrites[0].key, 'f');
 });
@@ -63,23 +69,23 @@
     records: [{key: 'g', value, offset: 2}, createKeyed('f', 3)],
     endOffset: 4,
   });
-  const {book, news, heard} = createNews(t, store);
-  void news.run();
+  const {book, replicator, updated} = createReplicator(t, store);
+  void replicator.run();
   await waitUntil(() => book.has('g'));
   t.false(book.has('f'), 'withdrawn by another VM');
   t.deepEqual(book.getCrashes('g'), [MARK]);
   t.false(book.has('bad'));
-  t.deepEqual(heard, ['f', 'g']);
+  t.deepEqual(updated, ['f', 'g']);
 });
 
 // Guards against a caller that fills the log with ever new requests.
 test('requests beyond the bound are withdrawn by who tells of more', async t => {
-  const {book, news, store} = createNews(t);
+  const {book, replicator, store} = createReplicator(t);
   for (let i = 0; i < MAX_REQUESTS; i++) {
     book.merge(`f${i}`, [{...MARK, atMs: Date.now()}], Date.now());
   }
   book.merge('new', [{...MARK, atMs: Date.now()}], Date.now());
-  news.tell('new');
+  replicator.publish('new');
   await waitUntil(() => store.keyedWrites.length === 2);
   t.deepEqual(store.keyedWrites[0], {key: 'f0'});
   t.is(store.keyedWrites[1].key, 'new');
--- a/packages/daemon/src/gateway/crashes/crash_news.ts
+++ b/packages/daemon/src/gateway/crashes/crash_replicator.ts
@@ -20,12 +20,12 @@
 /** Pause after news, ms: a crash brings those of several VMs. */
 const GATHER_MS = 20;
 /** Requests that one append tells of. */
-const MAX_RECORDS = 100;
+const MAX_RECORDS_PER_APPEND = 100;
 /** Pause after an append that may not stand, ms, doubling up to the next figure. */
 const FIRST_RETRY_MS = 100;
 const MAX_RETRY_MS = 2000;
 
-export class CrashNews {
+export class CrashReplicator {
   private readonly feed: KeyedFeed;
   /** Fingerprints whose record is to be written or withdrawn. */
   private readonly pending = new Set<string>();
@@ -37,12 +37,12 @@
     private readonly topic: string,
     private readonly book: CrashRegistry,
     /** Told of each request that the log tells of. */
-    private readonly onNews: (fingerprint: string) => void,
+    private readonly onUpdate: (fingerprint: string) => void,
     private readonly logger: EventLogger,
   ) {
     const cfg = {topic, waitMs: READ_WAIT_MS, gatherMs: GATHER_MS};
     const events = {
-      onRecord: (record: KeyedRecord) => this.take(record),
+      onRecord: (record: KeyedRecord) => this.applyRecord(record),
       onCaughtUp: () => undefined,
       onContact: () => undefined,
       onRead: () => undefined,
@@ -62,15 +62,15 @@
   }
 
   /** What the book says of the request now is told to the other VMs. */
-  tell(fingerprint: string): void {
+  publish(fingerprint: string): void {
     for (const forgotten of this.book.prune(Date.now())) {
       this.pending.add(forgotten);
     }
     this.pending.add(fingerprint);
-    if (!this.isWriting) void this.write();
+    if (!this.isWriting) void this.writePending();
   }
 
-  private take({key, value, offset}: KeyedRecord): void {
+  private applyRecord({key, value, offset}: KeyedRecord): void {
     if (value === undefined) {
       this.book.clear(key);
       return;
@@ -78,7 +78,7 @@
     const marks = decodeMarks(value);
     if (marks.ok) {
       this.book.merge(key, marks.value, Date.now());
-      this.onNews(key);
+      this.onUpdate(key);
       return;
     }
     const {detail} = marks.error;
@@ -86,20 +86,20 @@
   }
 
   /** Writes until nothing is pending. */
-  private async write(): Promise<void> {
+  private async writePending(): Promise<void> {
     this.isWriting = true;
     let retryMs = FIRST_RETRY_MS;
     await sleep(GATHER_MS);
     while (this.pending.size > 0 && !this.isStopped) {
-      const told = [...this.pending].slice(0, MAX_RECORDS);
-      for (const fingerprint of told) this.pending.delete(fingerprint);
-      const records = told.map(fingerprint => this.createRecord(fingerprint));
+      const batch = [...this.pending].slice(0, MAX_RECORDS_PER_APPEND);
+      for (const fingerprint of batch) this.pending.delete(fingerprint);
+      const records = batch.map(fingerprint => this.createRecord(fingerprint));
       const outcome = await this.store.appendKeyed(this.topic, records);
       if (outcome.kind === 'appended') {
         retryMs = FIRST_RETRY_MS;
         continue;
       }
-      for (const fingerprint of told) this.pending.add(fingerprint);
+      for (const fingerprint of batch) this.pending.add(fingerprint);
       await sleep(retryMs);
       retryMs = Math.min(retryMs * 2, MAX_RETRY_MS);
     }
--- a/packages/daemon/src/gateway/crashes/crash_watch.ts
+++ b/packages/daemon/src/gateway/crashes/crash_watch.ts
@@ -13,23 +13,23 @@
 import type {EndpointEntry} from '@radishyoke/core/fleet/endpoint_entry';
 import type {EventLogger} from '../../logger.js';
 import type {GatewayMetrics} from '../gateway_metrics.js';
-import {type BrokenRequests, CrashInquiries} from './crash_inquiries.js';
+import {type InterruptedRequests, CrashDetector} from './crash_detector.js';
 import {probeEndpoint, type ProbeTarget} from './endpoint_probe.js';
 import {
-  isEarly,
+  isEarlyEnd,
   type InFlightRequest,
   type WatchedEnd,
   WatchedRequest,
 } from './watched_request.js';
 
 /** What tells the other VMs. */
-export interface CrashTeller {
-  tell(fingerprint: string): void;
+export interface CrashPublisher {
+  publish(fingerprint: string): void;
 }
 
-export interface WatchParts {
+export interface CrashWatchDeps {
   readonly book: CrashRegistry;
-  readonly news: CrashTeller;
+  readonly publisher: CrashPublisher;
   readonly metrics: GatewayMetrics;
   readonly logger: EventLogger;
   /** Whether an endpoint is there; a connection is tried unless a test says otherwise. */
@@ -37,188 +37,196 @@
 }
 
 /** A first crash is told to others unless the request ends well within this time, ms: most do at their next endpoint. */
-const TELL_MS = 250;
+const PUBLISH_DELAY_MS = 250;
 /** Crashes from which it is told at once. */
-const TELL_MARKS = 2;
+const IMMEDIATE_PUBLISH_MARKS = 2;
 /** Requests that one log line names. */
-const MAX_NAMED = 20;
+const MAX_LOGGED_FINGERPRINTS = 20;
 
 export class CrashWatch {
   /** By endpoint. */
   private readonly inFlight = new Map<string, Set<InFlightRequest>>();
-  private readonly answers = new RecentAnswers();
+  private readonly recentAnswers = new RecentAnswers();
   private readonly probe: (target: ProbeTarget) => Promise<boolean>;
-  private readonly inquiries: CrashInquiries;
+  private readonly detector: CrashDetector;
 
-  constructor(private readonly parts: WatchParts) {
-    this.probe = parts.probe ?? probeEndpoint;
-    this.inquiries = new CrashInquiries({
+  constructor(private readonly deps: CrashWatchDeps) {
+    this.probe = deps.probe ?? probeEndpoint;
+    this.detector = new CrashDetector({
       probe: this.probe,
       hasSurvivor: (id, beforeMs) => this.hasSurvivor(id, beforeMs),
-      onCrash: (entry, broken, atMs) => this.noteCrash(entry, broken, atMs),
+      onCrash: (entry, broken, atMs) => this.recordCrash(entry, broken, atMs),
     });
   }
 
-  isHeld(fingerprint: () => string): boolean {
-    return this.isAlert && this.judge(fingerprint()).kind === 'held';
+  isQuarantined(fingerprint: () => string): boolean {
+    return this.hasSuspects && this.getStatus(fingerprint()).kind === 'held';
   }
 
   /** Whether the request was beside a crash before. */
-  isSuspect(fingerprint: () => string): boolean {
-    return this.isAlert && this.judge(fingerprint()).kind !== 'clear';
+  isSuspected(fingerprint: () => string): boolean {
+    return this.hasSuspects && this.getStatus(fingerprint()).kind !== 'clear';
   }
 
   /** Whether it is being found out if a suspect was beside one more crash. */
-  isAsked(fingerprint: () => string): boolean {
-    if (!this.inquiries.isBusy || !this.isSuspect(fingerprint)) return false;
-    return this.inquiries.concerns(fingerprint());
+  isBeingChecked(fingerprint: () => string): boolean {
+    if (!this.detector.isChecking || !this.isSuspected(fingerprint))
+      return false;
+    return this.detector.isCheckingRequest(fingerprint());
   }
 
   /** For how much longer the request is held back, ms. */
-  measureHoldMs(fingerprint: string): number {
-    const standing = this.judge(fingerprint);
-    if (standing.kind !== 'held') return 0;
-    return Math.max(Math.ceil(standing.untilMs - Date.now()), 0);
+  measureQuarantineMs(fingerprint: string): number {
+    const status = this.getStatus(fingerprint);
+    if (status.kind !== 'held') return 0;
+    return Math.max(Math.ceil(status.untilMs - Date.now()), 0);
   }
 
   countCrashes(fingerprint: string): number {
-    return this.parts.book.getCrashes(fingerprint).length;
+    return this.deps.book.getCrashes(fingerprint).length;
   }
 
   /**
    * Whether a request may go to the endpoint now: a suspect only to one that is
    * there, as it would be blamed for an endpoint that others had crashed.
    */
-  async isFit(
+  async maySendTo(
     entry: EndpointEntry,
     fingerprint: () => string,
   ): Promise<boolean> {
-    return !this.isSuspect(fingerprint) || this.probe(entry);
+    return !this.isSuspected(fingerprint) || this.probe(entry);
   }
 
   /** A request goes to an endpoint. */
-  begin(entry: EndpointEntry, fingerprint: () => string): WatchedRequest {
-    if (this.isAlert) this.parts.book.recordStart(fingerprint(), Date.now());
+  recordStart(entry: EndpointEntry, fingerprint: () => string): WatchedRequest {
+    if (this.hasSuspects) this.deps.book.recordStart(fingerprint(), Date.now());
     const watched = new WatchedRequest(entry, fingerprint, (ended, how) =>
-      this.noteEnd(ended, how),
+      this.onEnd(ended, how),
     );
-    const here = this.inFlight.get(entry.id) ?? new Set();
-    this.inFlight.set(entry.id, here.add(watched));
+    const atEndpoint = this.inFlight.get(entry.id) ?? new Set();
+    this.inFlight.set(entry.id, atEndpoint.add(watched));
     return watched;
   }
 
   /** Resolves once it is known whether the endpoint has crashed, if that is asked. */
-  settle(endpointId: string): Promise<void> {
-    return this.inquiries.settle(endpointId);
+  waitForCheck(endpointId: string): Promise<void> {
+    return this.detector.waitForCheck(endpointId);
   }
 
   /** The list says that the endpoint is gone, or has a new life. */
-  noteGone(entry: EndpointEntry): void {
-    this.inquiries.noteGone(entry);
+  onEndpointGone(entry: EndpointEntry): void {
+    this.detector.onEndpointGone(entry);
   }
 
   /** The endpoint is another one now, or gone. */
   forget(endpointId: string): void {
-    this.inquiries.forget(endpointId);
+    this.detector.forget(endpointId);
   }
 
   /** Another VM tells of a request; one that was answered here a moment ago is cleared for all. */
-  noteNews(fingerprint: string): void {
-    if (this.isAnswered(fingerprint)) this.withdraw(fingerprint);
+  onRemoteUpdate(fingerprint: string): void {
+    if (this.wasAnsweredRecently(fingerprint))
+      this.withdrawSuspicion(fingerprint);
   }
 
   /** Whether any request is suspected: without one no fingerprint is looked up. */
-  private get isAlert(): boolean {
-    return this.parts.book.size > 0;
+  private get hasSuspects(): boolean {
+    return this.deps.book.size > 0;
   }
 
-  private judge(fingerprint: string): QuarantineStatus {
-    return this.parts.book.getStatus(fingerprint, Date.now());
+  private getStatus(fingerprint: string): QuarantineStatus {
+    return this.deps.book.getStatus(fingerprint, Date.now());
   }
 
-  private isAnswered(fingerprint: string): boolean {
-    return this.answers.hasRecent(fingerprint, performance.now());
+  private wasAnsweredRecently(fingerprint: string): boolean {
+    return this.recentAnswers.hasRecent(fingerprint, performance.now());
   }
 
   private hasSurvivor(endpointId: string, beforeMs: number): boolean {
-    const here = this.inFlight.get(endpointId) ?? [];
-    return [...here].some(({startedMs}) => startedMs < beforeMs);
+    const atEndpoint = this.inFlight.get(endpointId) ?? [];
+    return [...atEndpoint].some(({startedMs}) => startedMs < beforeMs);
   }
 
-  private noteEnd(watched: InFlightRequest, how: WatchedEnd): void {
+  private onEnd(watched: InFlightRequest, how: WatchedEnd): void {
     const {entry} = watched;
-    const here = this.inFlight.get(entry.id);
-    here?.delete(watched);
-    if (here?.size === 0) this.inFlight.delete(entry.id);
-    if (how === 'broken') return this.takeBreak(watched);
+    const atEndpoint = this.inFlight.get(entry.id);
+    atEndpoint?.delete(watched);
+    if (atEndpoint?.size === 0) this.inFlight.delete(entry.id);
+    if (how === 'broken') return this.onBrokenConnection(watched);
     if (how === 'answered') {
-      this.answers.record(watched.fingerprint(), performance.now());
+      this.recentAnswers.record(watched.fingerprint(), performance.now());
     }
-    const hasRun = how === 'answered' || !isEarly(watched);
-    if (hasRun) this.clear(watched);
+    const hasRun = how === 'answered' || !isEarlyEnd(watched);
+    if (hasRun) this.clearRequest(watched);
   }
 
   /** Of a request on trial a broken connection is enough: a crash may be known for one only seconds later. */
-  private takeBreak(watched: InFlightRequest): void {
-    const name = watched.fingerprint();
-    const isTrial = this.parts.book.runsAsProbe(name);
-    if (isTrial)
-      this.noteCrash(watched.entry, new Map([[name, watched]]), Date.now());
-    this.inquiries.open(watched);
+  private onBrokenConnection(watched: InFlightRequest): void {
+    const fingerprint = watched.fingerprint();
+    const isProbe = this.deps.book.runsAsProbe(fingerprint);
+    if (isProbe)
+      this.recordCrash(
+        watched.entry,
+        new Map([[fingerprint, watched]]),
+        Date.now(),
+      );
+    this.detector.checkEndpoint(watched);
   }
 
   /** What ran there without a crash is not to blame for earlier ones. */
-  private clear({fingerprint}: InFlightRequest): void {
-    if (!this.isAlert && !this.inquiries.isBusy) return;
-    this.inquiries.clear(fingerprint());
-    this.withdraw(fingerprint());
+  private clearRequest({fingerprint}: InFlightRequest): void {
+    if (!this.hasSuspects && !this.detector.isChecking) return;
+    this.detector.removeRequest(fingerprint());
+    this.withdrawSuspicion(fingerprint());
   }
 
-  private withdraw(fingerprint: string): void {
-    const {book, news, logger} = this.parts;
+  private withdrawSuspicion(fingerprint: string): void {
+    const {book, publisher, logger} = this.deps;
     if (!book.clear(fingerprint)) return;
-    news.tell(fingerprint);
+    publisher.publish(fingerprint);
     logger.log('info', 'request cleared', {fingerprint});
   }
 
-  private noteCrash(
+  private recordCrash(
     {id, service}: EndpointEntry,
-    broken: BrokenRequests,
+    interrupted: InterruptedRequests,
     atMs: number,
   ): void {
-    const {book, metrics, logger} = this.parts;
+    const {book, metrics, logger} = this.deps;
     metrics.count('endpoint_crashes');
-    for (const [fingerprint, watched] of broken) {
-      if (this.isAnswered(fingerprint)) continue;
-      const weight = isEarly(watched) ? EARLY_WEIGHT : LATE_WEIGHT;
+    for (const [fingerprint, watched] of interrupted) {
+      if (this.wasAnsweredRecently(fingerprint)) continue;
+      const weight = isEarlyEnd(watched) ? EARLY_WEIGHT : LATE_WEIGHT;
       book.recordCrash(fingerprint, {endpointId: id, atMs, weight});
-      this.tellSoon(fingerprint);
-      this.logHold(fingerprint);
+      this.schedulePublish(fingerprint);
+      this.logQuarantine(fingerprint);
     }
     logger.log('warn', 'endpoint crashed', {
       endpoint: id,
       service,
-      requests: broken.size,
-      fingerprints: [...broken.keys()].slice(0, MAX_NAMED).join(','),
+      requests: interrupted.size,
+      fingerprints: [...interrupted.keys()]
+        .slice(0, MAX_LOGGED_FINGERPRINTS)
+        .join(','),
     });
   }
 
-  private logHold(fingerprint: string): void {
-    const retryAfterMs = this.measureHoldMs(fingerprint);
+  private logQuarantine(fingerprint: string): void {
+    const retryAfterMs = this.measureQuarantineMs(fingerprint);
     if (retryAfterMs === 0) return;
     const crashes = this.countCrashes(fingerprint);
     const fields = {fingerprint, crashes, retryAfterMs};
-    this.parts.logger.log('warn', 'crashing request held back', fields);
+    this.deps.logger.log('warn', 'crashing request held back', fields);
   }
 
-  private tellSoon(fingerprint: string): void {
-    const {book, news} = this.parts;
-    if (book.getCrashes(fingerprint).length >= TELL_MARKS) {
-      news.tell(fingerprint);
+  private schedulePublish(fingerprint: string): void {
+    const {book, publisher} = this.deps;
+    if (book.getCrashes(fingerprint).length >= IMMEDIATE_PUBLISH_MARKS) {
+      publisher.publish(fingerprint);
       return;
     }
     setTimeout(() => {
-      if (book.has(fingerprint)) news.tell(fingerprint);
-    }, TELL_MS).unref();
+      if (book.has(fingerprint)) publisher.publish(fingerprint);
+    }, PUBLISH_DELAY_MS).unref();
   }
 }
--- a/packages/daemon/src/gateway/crashes/endpoint_probe.ts
+++ b/packages/daemon/src/gateway/crashes/endpoint_probe.ts
@@ -9,27 +9,27 @@
 }
 
 /** No connection in this time: the endpoint is gone, ms; distances are a few ms. */
-const CONNECT_MS = 250;
+const CONNECT_TIMEOUT_MS = 250;
 /** A connection that stays open for this long has an endpoint behind it, ms: something in between may take it and close it at once. */
-const HOLD_MS = 60;
+const MIN_OPEN_MS = 60;
 
 /** Opens a connection and sends nothing; false where none can be made or kept. */
 export function probeEndpoint({host, port}: ProbeTarget): Promise<boolean> {
   return new Promise(resolve => {
     const socket = net.connect({host, port});
-    let timer = setTimeout(() => conclude(false), CONNECT_MS);
-    const conclude = (isThere: boolean) => {
+    let timer = setTimeout(() => finish(false), CONNECT_TIMEOUT_MS);
+    const finish = (isReachable: boolean) => {
       clearTimeout(timer);
       socket.destroy();
-      resolve(isThere);
+      resolve(isReachable);
     };
     socket.once('connect', () => {
       clearTimeout(timer);
-      timer = setTimeout(() => conclude(true), HOLD_MS);
+      timer = setTimeout(() => finish(true), MIN_OPEN_MS);
     });
     // An end without an error is no less of one.
     for (const event of ['error', 'end', 'close'] as const) {
-      socket.once(event, () => conclude(false));
+      socket.once(event, () => finish(false));
     }
   });
 }
--- a/packages/daemon/src/gateway/crashes/watched_request.ts
+++ b/packages/daemon/src/gateway/crashes/watched_request.ts
@@ -25,18 +25,18 @@
 }
 
 /** Events after which a request did not crash its endpoint by being begun. */
-const EARLY_EVENTS = 3;
+const MAX_EARLY_EVENTS = 3;
 
 /** Whether the request had only just begun there. */
-export function isEarly({events}: InFlightRequest): boolean {
-  return events <= EARLY_EVENTS;
+export function isEarlyEnd({events}: InFlightRequest): boolean {
+  return events <= MAX_EARLY_EVENTS;
 }
 
 /** A request at an endpoint, until `end`. */
 export class WatchedRequest implements InFlightRequest {
   readonly startedMs = performance.now();
   private eventCount = 0;
-  private isOver = false;
+  private isEnded = false;
 
   constructor(
     readonly entry: EndpointEntry,
@@ -48,28 +48,28 @@
     return this.eventCount;
   }
 
-  noteEvent(): void {
+  recordEvent(): void {
     this.eventCount += 1;
   }
 
   end(how: WatchedEnd): void {
-    if (this.isOver) return;
-    this.isOver = true;
+    if (this.isEnded) return;
+    this.isEnded = true;
     this.onEnd(this, how);
   }
 }
 
 /** Reads off the outcome of an exchange or a stream how the request ended there. */
-export function judgeEnd(
+export function toWatchedEnd(
   kind: ExchangeOutcome['kind'] | StreamOutcome['kind'],
-  isOwnEnd: boolean,
+  isEndedLocally: boolean,
 ): WatchedEnd {
   switch (kind) {
     case 'answered':
     case 'whole':
       return 'answered';
     case 'unknown':
-      return isOwnEnd ? 'left' : 'broken';
+      return isEndedLocally ? 'left' : 'broken';
     case 'not_executed':
     case 'unsent':
       return 'left';
--- a/packages/daemon/src/gateway/endpoints/__tests__/event_splitter.spec.ts
+++ b/packages/daemon/src/gateway/endpoints/__tests__/event_splitter.spec.ts
@@ -28,7 +28,7 @@
         events.map(({id}) => id),
         [1, 2, 3, undefined],
       );
-      t.false(splitter.hasRest);
+      t.false(splitter.hasPartialEvent);
     }),
     {seed: 5, numRuns: 300},
   );
@@ -37,7 +37,7 @@
 test('half an event is held back', t => {
   const splitter = new EventSplitter();
   t.deepEqual(splitter.push(Buffer.from('id: 1\ndata: o')), []);
-  t.true(splitter.hasRest);
+  t.true(splitter.hasPartialEvent);
 });
 
 test('an event without an end is refused at some length', t => {
--- a/packages/daemon/src/gateway/endpoints/connections.ts
+++ b/packages/daemon/src/gateway/endpoints/connections.ts
@@ -40,7 +40,7 @@
  * for good while new ones work. A request that met one takes all idle ones with
  * it, so that no other request meets the next.
  */
-export function closeIdle(agent: Agent): void {
+export function closeIdleConnections(agent: Agent): void {
   for (const sockets of Object.values(agent.freeSockets)) {
     for (const socket of sockets ?? []) socket.destroy();
   }
--- a/packages/daemon/src/gateway/endpoints/endpoint_exchange.ts
+++ b/packages/daemon/src/gateway/endpoints/endpoint_exchange.ts
@@ -7,7 +7,7 @@
 import http from 'node:http';
 import type {EndpointEntry} from '@radishyoke/core/fleet/endpoint_entry';
 import {watchConnection} from './connections.js';
-import type {AnswerFacts, EndpointProtocol} from './endpoint_protocol.js';
+import type {AnswerMetadata, EndpointProtocol} from './endpoint_protocol.js';
 
 export interface ExchangeRequest {
   readonly method: string;
@@ -24,7 +24,7 @@
   /** Names and values by turns, as received. */
   readonly rawHeaders: readonly string[];
   readonly body: Buffer;
-  readonly facts: AnswerFacts;
+  readonly metadata: AnswerMetadata;
 }
 
 export type ExchangeOutcome =
@@ -46,7 +46,7 @@
 const MAX_ANSWER_BYTES = 16 * 1024 * 1024;
 const MISDIRECTED = 421;
 /** A connection must be made within this time, ms; distances are a few ms. A machine without power never refuses one, and the request can still go elsewhere. */
-const CONNECT_MS = 250;
+const CONNECT_TIMEOUT_MS = 250;
 
 export class EndpointExchange {
   private req: http.ClientRequest | undefined;
@@ -99,7 +99,7 @@
   }
 
   /** Whether this side ended it, so that its end is no broken connection. */
-  get isOwnEnd(): boolean {
+  get isEndedLocally(): boolean {
     return this.wasAborted || this.wasGivenUp;
   }
 
@@ -128,7 +128,7 @@
       onConnected: () => (this.connectedMs = performance.now()),
       onTimeout: () => req.destroy(),
     };
-    watchConnection(req, events, CONNECT_MS);
+    watchConnection(req, events, CONNECT_TIMEOUT_MS);
     req.end(sent.body);
     return req;
   }
@@ -139,8 +139,8 @@
     settle: (outcome: ExchangeOutcome) => void,
     fail: (detail: string) => void,
   ): void {
-    const facts = this.protocol.readAnswer(res.headers);
-    const problem = findProblem(res, facts, sent.attemptId);
+    const metadata = this.protocol.readAnswer(res.headers);
+    const problem = findAnswerProblem(res, metadata, sent.attemptId);
     if (problem) {
       // What follows on this connection can not be trusted either.
       fail(problem);
@@ -162,31 +162,34 @@
     res.on('end', () => {
       if (!res.complete) return fail('the answer broke off');
       const status = res.statusCode ?? 0;
-      if (facts.isNotExecuted || status === MISDIRECTED) {
+      if (metadata.isNotExecuted || status === MISDIRECTED) {
         settle({kind: 'not_executed', detail: `status ${status}`});
         return;
       }
       const {rawHeaders} = res;
       const body = Buffer.concat(chunks);
-      settle({kind: 'answered', answer: {status, rawHeaders, body, facts}});
+      settle({
+        kind: 'answered',
+        answer: {status, rawHeaders, body, metadata: metadata},
+      });
     });
   }
 }
 
 /** Why an answer can not be the endpoint's to this attempt, if it can not. */
-export function findProblem(
+export function findAnswerProblem(
   res: http.IncomingMessage,
-  facts: AnswerFacts,
+  metadata: AnswerMetadata,
   attemptId: string | undefined,
 ): string | undefined {
   const status = res.statusCode ?? 0;
   // An endpoint may send a second answer to an earlier request, which then
   // stands where this one's is expected. Its id gives it away.
-  const isOther = facts.attemptId !== attemptId;
-  if (isOther && (facts.attemptId !== undefined || isSuccess(status))) {
+  const isOther = metadata.attemptId !== attemptId;
+  if (isOther && (metadata.attemptId !== undefined || isSuccess(status))) {
     return 'the answer is to another request';
   }
-  if (isSuccess(status) && facts.stamp === undefined) {
+  if (isSuccess(status) && metadata.stamp === undefined) {
     return 'the answer bears no proof';
   }
   // Callers ask for bodies as they are; a coded one is not the endpoint's.
--- a/packages/daemon/src/gateway/endpoints/endpoint_links.ts
+++ b/packages/daemon/src/gateway/endpoints/endpoint_links.ts
@@ -5,14 +5,14 @@
 
 import http from 'node:http';
 import type {EndpointEntry} from '@radishyoke/core/fleet/endpoint_entry';
-import {closeIdle} from './connections.js';
+import {closeIdleConnections} from './connections.js';
 
 /** An idle connection is given up after this long, ms; below the shortest idle time-out that endpoints were seen to state. */
-const IDLE_MS = 4000;
+const IDLE_TIMEOUT_MS = 4000;
 
 interface Link {
   readonly agent: http.Agent;
-  readonly bornMs: number;
+  readonly startedAtMs: number;
   readonly address: string;
 }
 
@@ -20,26 +20,29 @@
   private readonly links = new Map<string, Link>();
 
   /** The pool that leads to `entry` as it lives now. */
-  open(entry: EndpointEntry): http.Agent {
+  getAgent(entry: EndpointEntry): http.Agent {
     const address = `${entry.host}:${entry.port}`;
-    const known = this.links.get(entry.id);
-    if (known?.bornMs === entry.startedAtMs && known.address === address) {
-      return known.agent;
+    const existing = this.links.get(entry.id);
+    if (
+      existing?.startedAtMs === entry.startedAtMs &&
+      existing.address === address
+    ) {
+      return existing.agent;
     }
-    known?.agent.destroy();
+    existing?.agent.destroy();
     const agent = new http.Agent({
       keepAlive: true,
       scheduling: 'lifo',
-      timeout: IDLE_MS,
+      timeout: IDLE_TIMEOUT_MS,
     });
-    this.links.set(entry.id, {agent, bornMs: entry.startedAtMs, address});
+    this.links.set(entry.id, {agent, startedAtMs: entry.startedAtMs, address});
     return agent;
   }
 
   /** Gives up the idle connections to an endpoint: they may all be silent. */
-  renew(endpointId: string): void {
+  closeIdle(endpointId: string): void {
     const agent = this.links.get(endpointId)?.agent;
-    if (agent) closeIdle(agent);
+    if (agent) closeIdleConnections(agent);
   }
 
   /** Closes all connections to an endpoint that is gone. */
--- a/packages/daemon/src/gateway/endpoints/endpoint_protocol.ts
+++ b/packages/daemon/src/gateway/endpoints/endpoint_protocol.ts
@@ -32,7 +32,7 @@
 }
 
 /** What an answer says beside its status and body. */
-export interface AnswerFacts {
+export interface AnswerMetadata {
   /** Id of the attempt that it answers. */
   readonly attemptId: string | undefined;
   /** The endpoint's proof of origin. */
@@ -117,11 +117,11 @@
     terms: ForwardTerms,
   ): OutgoingHttpHeaders;
 
-  abstract readAnswer(headers: IncomingHttpHeaders): AnswerFacts;
+  abstract readAnswer(headers: IncomingHttpHeaders): AnswerMetadata;
 
   abstract reportCall(): EndpointCall;
   abstract decodeReport(body: Uint8Array): Result<EngineReport>;
 
   abstract orderCall(order: LoadOrder): EndpointCall;
-  abstract judgeOrder(status: number): OrderAnswer;
+  abstract decodeOrderAnswer(status: number): OrderAnswer;
 }
--- a/packages/daemon/src/gateway/endpoints/endpoint_stream.ts
+++ b/packages/daemon/src/gateway/endpoints/endpoint_stream.ts
@@ -9,10 +9,10 @@
 import {
   type EndpointAnswer,
   type ExchangeRequest,
-  findProblem,
+  findAnswerProblem,
   isSuccess,
 } from './endpoint_exchange.js';
-import type {AnswerFacts, EndpointProtocol} from './endpoint_protocol.js';
+import type {AnswerMetadata, EndpointProtocol} from './endpoint_protocol.js';
 import {EventSplitter, type RawEvent} from './event_splitter.js';
 
 /** How an attempt ended. */
@@ -31,15 +31,15 @@
 /** What the reader of a stream does with it. */
 export interface StreamReader {
   /** The answer has begun; `rawHeaders` are names and values by turns. */
-  onHead(rawHeaders: readonly string[], facts: AnswerFacts): void;
+  onHead(rawHeaders: readonly string[], metadata: AnswerMetadata): void;
   /** Takes an event; false where it can not follow what came before. */
   onEvent(event: RawEvent): boolean;
   /** Resolves when more can be taken. */
-  waitForRoom(): Promise<void> | undefined;
+  waitForDrain(): Promise<void> | undefined;
 }
 
 /** A connection must be made within this time, ms; distances are a few ms. */
-const CONNECT_MS = 250;
+const CONNECT_TIMEOUT_MS = 250;
 /** A failure's body is read up to this length, bytes. */
 const MAX_FAILURE_BYTES = 1024 * 1024;
 const MISDIRECTED = 421;
@@ -47,7 +47,7 @@
 export class EndpointStream {
   private req: http.ClientRequest | undefined;
   private isConnected = false;
-  private wasBrokenOff = false;
+  private wasAborted = false;
   private resolve: (outcome: StreamOutcome) => void = () => undefined;
   private readonly splitter = new EventSplitter();
 
@@ -77,9 +77,9 @@
     this.req = req;
     const events = {
       onConnected: () => (this.isConnected = true),
-      onTimeout: () => this.breakOff('no connection in time'),
+      onTimeout: () => this.abort('no connection in time'),
     };
-    watchConnection(req, events, CONNECT_MS);
+    watchConnection(req, events, CONNECT_TIMEOUT_MS);
     req.on('error', err => this.fail(err.message));
     req.on('close', () => this.fail('the connection closed'));
     req.on('response', res => this.receive(res, sent.attemptId));
@@ -88,66 +88,67 @@
   }
 
   /** Ends the attempt; the endpoint sees its connection close. */
-  breakOff(detail: string): void {
-    this.wasBrokenOff = true;
+  abort(detail: string): void {
+    this.wasAborted = true;
     this.fail(detail);
     this.req?.destroy();
   }
 
   /** Whether this side ended it, so that its end is no broken connection. */
-  get isOwnEnd(): boolean {
-    return this.wasBrokenOff;
+  get isEndedLocally(): boolean {
+    return this.wasAborted;
   }
 
   private receive(
     res: http.IncomingMessage,
     attemptId: string | undefined,
   ): void {
-    const facts = this.protocol.readAnswer(res.headers);
-    const problem = findProblem(res, facts, attemptId);
-    if (problem) return this.breakOff(problem);
+    const metadata = this.protocol.readAnswer(res.headers);
+    const problem = findAnswerProblem(res, metadata, attemptId);
+    if (problem) return this.abort(problem);
     res.on('error', err => this.fail(err.message));
     if (!isSuccess(res.statusCode ?? 0)) {
-      void this.readFailure(res, facts);
+      void this.readFailure(res, metadata);
       return;
     }
-    this.reader.onHead(res.rawHeaders, facts);
-    res.on('data', (chunk: Buffer) => this.take(res, chunk));
+    this.reader.onHead(res.rawHeaders, metadata);
+    res.on('data', (chunk: Buffer) => this.handleChunk(res, chunk));
     res.on('end', () => {
       if (!res.complete) return this.fail('the stream broke off');
-      if (this.splitter.hasRest) return this.fail('half an event at the end');
+      if (this.splitter.hasPartialEvent)
+        return this.fail('half an event at the end');
       this.resolve({kind: 'whole'});
     });
   }
 
-  private take(res: http.IncomingMessage, chunk: Buffer): void {
+  private handleChunk(res: http.IncomingMessage, chunk: Buffer): void {
     const events = this.splitter.push(chunk);
-    if (!events) return this.breakOff('an event is too long');
+    if (!events) return this.abort('an event is too long');
     for (const event of events) {
       if (this.reader.onEvent(event)) continue;
-      return this.breakOff(`event ${event.id ?? 'without id'} out of order`);
+      return this.abort(`event ${event.id ?? 'without id'} out of order`);
     }
-    const room = this.reader.waitForRoom();
-    if (!room) return;
+    const drained = this.reader.waitForDrain();
+    if (!drained) return;
     res.pause();
-    void room.then(() => res.resume());
+    void drained.then(() => res.resume());
   }
 
   private async readFailure(
     res: http.IncomingMessage,
-    facts: AnswerFacts,
+    metadata: AnswerMetadata,
   ): Promise<void> {
     const chunks: Buffer[] = [];
     let bytes = 0;
     res.on('data', (chunk: Buffer) => {
       bytes += chunk.length;
       chunks.push(chunk);
-      if (bytes > MAX_FAILURE_BYTES) this.breakOff('the answer is too long');
+      if (bytes > MAX_FAILURE_BYTES) this.abort('the answer is too long');
     });
     res.on('end', () => {
       if (!res.complete) return this.fail('the answer broke off');
       const status = res.statusCode ?? 0;
-      if (facts.isNotExecuted || status === MISDIRECTED) {
+      if (metadata.isNotExecuted || status === MISDIRECTED) {
         this.resolve({kind: 'not_executed', detail: `status ${status}`});
         return;
       }
@@ -155,7 +156,7 @@
       const body = Buffer.concat(chunks);
       this.resolve({
         kind: 'answered',
-        answer: {status, rawHeaders, body, facts},
+        answer: {status, rawHeaders, body, metadata: metadata},
       });
     });
   }
--- a/packages/daemon/src/gateway/endpoints/endpoint_view.ts
+++ b/packages/daemon/src/gateway/endpoints/endpoint_view.ts
@@ -5,96 +5,96 @@
 import type {ExchangeOutcome} from './endpoint_exchange.js';
 import type {EndpointLoad} from './endpoint_protocol.js';
 
-interface Seen {
-  bornMs: number;
+interface EndpointState {
+  startedAtMs: number;
   inFlight: number;
-  reported: number;
+  reportedLoad: number;
   reportedAtMs: number;
-  failures: number;
-  failedAtMs: number;
+  consecutiveFailures: number;
+  lastFailureMs: number;
 }
 
 /** A reported load says nothing any more after this long, ms: requests last a tenth of it. */
-const REPORT_TRUST_MS = 500;
+const MAX_REPORT_AGE_MS = 500;
 
 export class EndpointView {
-  private readonly seen = new Map<string, Seen>();
+  private readonly states = new Map<string, EndpointState>();
 
   describe(entry: EndpointEntry, nowMs: number): EndpointCandidate {
-    const seen = this.open(entry);
-    const isRecent = nowMs - seen.reportedAtMs < REPORT_TRUST_MS;
+    const state = this.getState(entry);
+    const isRecent = nowMs - state.reportedAtMs < MAX_REPORT_AGE_MS;
     return {
       id: entry.id,
       slots: entry.slots,
       dataCentre: entry.dataCentre,
-      inFlight: seen.inFlight,
-      reportedLoad: isRecent ? seen.reported : 0,
-      failures: seen.failures,
-      failedAtMs: seen.failedAtMs,
+      inFlight: state.inFlight,
+      reportedLoad: isRecent ? state.reportedLoad : 0,
+      failures: state.consecutiveFailures,
+      failedAtMs: state.lastFailureMs,
     };
   }
 
-  noteStart(entry: EndpointEntry): void {
-    this.open(entry).inFlight += 1;
+  recordStart(entry: EndpointEntry): void {
+    this.getState(entry).inFlight += 1;
   }
 
-  noteEnd(entry: EndpointEntry): void {
-    const seen = this.open(entry);
-    seen.inFlight = Math.max(seen.inFlight - 1, 0);
+  recordEnd(entry: EndpointEntry): void {
+    const state = this.getState(entry);
+    state.inFlight = Math.max(state.inFlight - 1, 0);
   }
 
   /** Takes what the end of an exchange says of the endpoint. */
-  noteOutcome(
+  recordOutcome(
     entry: EndpointEntry,
     outcome: ExchangeOutcome,
     nowMs: number,
   ): void {
     if (outcome.kind !== 'answered') {
-      this.noteFailure(entry, nowMs);
+      this.recordFailure(entry, nowMs);
       return;
     }
-    const {facts, status} = outcome.answer;
-    if (facts.load) this.noteLoad(entry, facts.load, nowMs);
-    if (status >= 500) this.noteFailure(entry, nowMs);
-    else this.noteSuccess(entry);
+    const {metadata, status} = outcome.answer;
+    if (metadata.load) this.recordLoad(entry, metadata.load, nowMs);
+    if (status >= 500) this.recordFailure(entry, nowMs);
+    else this.recordSuccess(entry);
   }
 
-  private noteLoad(
+  private recordLoad(
     entry: EndpointEntry,
     load: EndpointLoad,
     nowMs: number,
   ): void {
-    const seen = this.open(entry);
-    seen.reported = load.running + load.waiting;
-    seen.reportedAtMs = nowMs;
+    const state = this.getState(entry);
+    state.reportedLoad = load.running + load.waiting;
+    state.reportedAtMs = nowMs;
   }
 
-  private noteSuccess(entry: EndpointEntry): void {
-    this.open(entry).failures = 0;
+  private recordSuccess(entry: EndpointEntry): void {
+    this.getState(entry).consecutiveFailures = 0;
   }
 
-  private noteFailure(entry: EndpointEntry, nowMs: number): void {
-    const seen = this.open(entry);
-    seen.failures += 1;
-    seen.failedAtMs = nowMs;
+  private recordFailure(entry: EndpointEntry, nowMs: number): void {
+    const state = this.getState(entry);
+    state.consecutiveFailures += 1;
+    state.lastFailureMs = nowMs;
   }
 
   forget(endpointId: string): void {
-    this.seen.delete(endpointId);
+    this.states.delete(endpointId);
   }
 
-  private open(entry: EndpointEntry): Seen {
-    const known = this.seen.get(entry.id);
-    if (known && known.bornMs === entry.startedAtMs) return known;
-    const seen = {
-      bornMs: entry.startedAtMs,
+  private getState(entry: EndpointEntry): EndpointState {
+    const existing = this.states.get(entry.id);
+    if (existing && existing.startedAtMs === entry.startedAtMs) return existing;
+    const created = {
+      startedAtMs: entry.startedAtMs,
       inFlight: 0,
-      reported: 0,
+      reportedLoad: 0,
       reportedAtMs: -Infinity,
-      failures: 0,
-      failedAtMs: -Infinity,
+      consecutiveFailures: 0,
+      lastFailureMs: -Infinity,
     };
-    this.seen.set(entry.id, seen);
-    return seen;
+    this.states.set(entry.id, created);
+    return created;
   }
 }
--- a/packages/daemon/src/gateway/endpoints/event_splitter.ts
+++ b/packages/daemon/src/gateway/endpoints/event_splitter.ts
@@ -17,24 +17,26 @@
 const MAX_EVENT_BYTES = 1024 * 1024;
 
 export class EventSplitter {
-  private rest: Buffer = Buffer.alloc(0);
+  private partialEvent: Buffer = Buffer.alloc(0);
 
   /** Whether bytes of an event that has not ended are held. */
-  get hasRest(): boolean {
-    return this.rest.length > 0;
+  get hasPartialEvent(): boolean {
+    return this.partialEvent.length > 0;
   }
 
   /** Takes the next bytes; returns the events that are whole with them, or undefined where one is too long. */
   push(chunk: Buffer): readonly RawEvent[] | undefined {
-    const bytes = this.hasRest ? Buffer.concat([this.rest, chunk]) : chunk;
+    const bytes = this.hasPartialEvent
+      ? Buffer.concat([this.partialEvent, chunk])
+      : chunk;
     const events: RawEvent[] = [];
     let from = 0;
     for (let end = findEnd(bytes, from); end > 0; end = findEnd(bytes, from)) {
       events.push(readEvent(bytes.subarray(from, end)));
       from = end;
     }
-    this.rest = bytes.subarray(from);
-    return this.rest.length > MAX_EVENT_BYTES ? undefined : events;
+    this.partialEvent = bytes.subarray(from);
+    return this.partialEvent.length > MAX_EVENT_BYTES ? undefined : events;
   }
 }
 
--- a/packages/daemon/src/gateway/endpoints/http_call.ts
+++ b/packages/daemon/src/gateway/endpoints/http_call.ts
@@ -37,15 +37,15 @@
 ): Promise<CallOutcome> {
   return new Promise(resolve => {
     let isConnected = false;
-    const giveUp = (ms: number) => {
-      settle(`no answer in ${ms} ms`);
+    const timeOut = (ms: number) => {
+      fail(`no answer in ${ms} ms`);
       req.destroy();
     };
-    const timer = setTimeout(giveUp, call.timeoutMs, call.timeoutMs);
+    const timer = setTimeout(timeOut, call.timeoutMs, call.timeoutMs);
     const {silenceMs = call.timeoutMs} = call;
-    const silenceTimer = setTimeout(giveUp, silenceMs, silenceMs);
+    const silenceTimer = setTimeout(timeOut, silenceMs, silenceMs);
     const onAbort = () => {
-      settle('given up by the caller');
+      fail('given up by the caller');
       req.destroy();
     };
     const finish = (outcome: CallOutcome) => {
@@ -54,7 +54,7 @@
       call.signal?.removeEventListener('abort', onAbort);
       resolve(outcome);
     };
-    const settle = (detail: string) =>
+    const fail = (detail: string) =>
       finish({kind: isConnected ? 'unknown' : 'unsent', detail});
     const req = http.request({
       agent,
@@ -65,16 +65,16 @@
       headers: {...call.headers, 'Content-Length': call.body?.length ?? 0},
     });
     watchConnection(req, {onConnected: () => (isConnected = true)});
-    req.on('error', err => settle(err.message));
+    req.on('error', err => fail(err.message));
     req.on('response', res => {
       const chunks: Buffer[] = [];
       res.on('data', (chunk: Buffer) => {
         silenceTimer.refresh();
         chunks.push(chunk);
       });
-      res.on('error', err => settle(err.message));
+      res.on('error', err => fail(err.message));
       res.on('end', () => {
-        if (!res.complete) return settle('the answer broke off');
+        if (!res.complete) return fail('the answer broke off');
         finish({
           kind: 'answered',
           status: res.statusCode ?? 0,
--- a/packages/daemon/src/gateway/engines/engine_reports.ts
+++ b/packages/daemon/src/gateway/engines/engine_reports.ts
@@ -24,14 +24,14 @@
   /** Fetches the engine's report; returns undefined if none came, or if it is of another incarnation of the engine. */
   async fetch(entry: EndpointEntry): Promise<EngineReport | undefined> {
     const call = this.protocol.reportCall();
-    const outcome = await callOnce(this.links.open(entry), {
+    const outcome = await callOnce(this.links.getAgent(entry), {
       ...call,
       host: entry.host,
       port: entry.port,
       timeoutMs: REPORT_TIMEOUT_MS,
     });
     if (outcome.kind !== 'answered' || outcome.status !== 200) {
-      if (outcome.kind === 'unknown') this.links.renew(entry.id);
+      if (outcome.kind === 'unknown') this.links.closeIdle(entry.id);
       return undefined;
     }
     const report = this.protocol.decodeReport(outcome.body);
--- a/packages/daemon/src/gateway/engines/lease_task.ts
+++ b/packages/daemon/src/gateway/engines/lease_task.ts
@@ -246,7 +246,7 @@
       LEASE_TOPIC,
       PARTITION,
       [encodeRecord(record)],
-      {at, timeoutMs: APPEND_TIMEOUT_MS},
+      {expectedEndOffset: at, timeoutMs: APPEND_TIMEOUT_MS},
     );
     if (outcome.kind !== 'appended') {
       this.lease.onAppendFailed();
--- a/packages/daemon/src/gateway/engines/weight_task.ts
+++ b/packages/daemon/src/gateway/engines/weight_task.ts
@@ -382,7 +382,7 @@
       fencingToken,
       expectedOrders,
     });
-    const outcome = await callOnce(links.open(entry), {
+    const outcome = await callOnce(links.getAgent(entry), {
       ...call,
       host: entry.host,
       port: entry.port,
@@ -390,7 +390,7 @@
     });
     const answer =
       outcome.kind === 'answered'
-        ? protocol.judgeOrder(outcome.status)
+        ? protocol.decodeOrderAnswer(outcome.status)
         : 'none';
     this.deps.metrics.count(`order_${answer}`);
     logger.log('info', 'order to an engine', {
--- a/packages/daemon/src/gateway/gateway.ts
+++ b/packages/daemon/src/gateway/gateway.ts
@@ -17,7 +17,7 @@
 import {ConfigHolder} from './store/config_holder.js';
 import {CrashRegistry} from '@radishyoke/core/crashes/crash_registry';
 import type {ControlApi} from './control/control_api.js';
-import {CrashNews} from './crashes/crash_news.js';
+import {CrashReplicator} from './crashes/crash_replicator.js';
 import {CrashWatch} from './crashes/crash_watch.js';
 import {UsageMeter} from './usage/usage_meter.js';
 import {UsageTask, type UsageTerms} from './usage/usage_task.js';
@@ -32,7 +32,7 @@
 import type {KeyedRecord, LogStore} from './store/log_store.js';
 import {MeteredStore} from './store/metered_store.js';
 import type {PlatformDirectory} from './store/platform_directory.js';
-import {RosterLog} from './store/roster_log.js';
+import {RosterChangeLogger} from './store/roster_change_logger.js';
 import {VmClock} from './vm_clock.js';
 
 export interface GatewayConfig {
@@ -93,7 +93,7 @@
   private readonly clock = new VmClock();
   private readonly store: LogStore;
   private readonly roster = new EndpointRoster(GONE_GRACE_MS);
-  private readonly rosterLog: RosterLog;
+  private readonly rosterLog: RosterChangeLogger;
   private readonly links = new EndpointLinks();
   private readonly view = new EndpointView();
   private readonly newestVersions = new Map<string, number>();
@@ -105,7 +105,7 @@
   private readonly metricsServer: http.Server;
   private readonly feeds: readonly KeyedFeed[];
   private readonly meter: UsageMeter | undefined;
-  private readonly crashNews: CrashNews;
+  private readonly crashNews: CrashReplicator;
   private readonly crashes: CrashWatch;
   private runner: BatchRunner | undefined;
   private usageTask: UsageTask | undefined;
@@ -125,7 +125,7 @@
     const {directory, callers, endpoints, logger} = deps;
     const store = new MeteredStore(deps.store, this.metrics);
     this.store = store;
-    this.rosterLog = new RosterLog(logger);
+    this.rosterLog = new RosterChangeLogger(logger);
     this.config = new ConfigHolder(logger, cfg.maxKeyAgeMs);
     this.replicas = new IndexReplicas(store, logger);
     this.lease = new LeaseTask(
@@ -137,16 +137,16 @@
       logger,
     );
     const book = new CrashRegistry(Math.random());
-    this.crashNews = new CrashNews(
+    this.crashNews = new CrashReplicator(
       store,
       directory.crashTopic,
       book,
-      fingerprint => this.crashes.noteNews(fingerprint),
+      fingerprint => this.crashes.onRemoteUpdate(fingerprint),
       logger,
     );
     this.crashes = new CrashWatch({
       book,
-      news: this.crashNews,
+      publisher: this.crashNews,
       metrics: this.metrics,
       logger,
     });
@@ -365,9 +365,9 @@
     const nowMs = this.clock.now();
     if (value === undefined) {
       const change = this.roster.remove(key, offset, nowMs);
-      if (change) this.rosterLog.note('left', change.entry, offset);
+      if (change) this.rosterLog.record('left', change.entry, offset);
       if (change && !change.entry.isDraining) {
-        this.crashes.noteGone(change.entry);
+        this.crashes.onEndpointGone(change.entry);
       }
       return;
     }
@@ -378,11 +378,11 @@
     }
     const {kind, entry} = this.roster.put(decoded.value, offset);
     if (kind === 'reborn') {
-      this.crashes.noteGone(entry);
+      this.crashes.onEndpointGone(entry);
       this.forget(entry);
     }
     if (kind !== 'stale') this.runner?.onEndpointChange(entry.id);
-    this.rosterLog.note(kind, entry, offset);
+    this.rosterLog.record(kind, entry, offset);
   }
 
   private sweep(): void {
--- a/packages/daemon/src/gateway/requests/__tests__/forwarder.spec.ts
+++ b/packages/daemon/src/gateway/requests/__tests__/forwarder.spec.ts
@@ -29,7 +29,7 @@
 const CRASHING_BODY = 'crash';
 
 /** A forwarder before endpoints that break the connection of a request with `CRASHING_BODY`. */
-async function startForwarder(t: ExecutionContext, isThere: () => boolean) {
+async function startForwarder(t: ExecutionContext, isReachable: () => boolean) {
   const reached: string[] = [];
   const roster = new EndpointRoster(1000);
   for (let i = 0; i < 6; i++) {
@@ -60,7 +60,7 @@
     view: new EndpointView(),
     protocol: new PlainProtocol(),
     dataCentre: 'dc',
-    crashes: createCrashWatch(isThere),
+    crashes: createCrashWatch(isReachable),
     metrics: new GatewayMetrics(),
     logger: silentLogger,
   });
--- a/packages/daemon/src/gateway/requests/__tests__/stream_call.spec.ts
+++ b/packages/daemon/src/gateway/requests/__tests__/stream_call.spec.ts
@@ -67,7 +67,7 @@
   );
   const roster = new EndpointRoster(1000);
   roster.put(createEntry(await listen(t, endpoint)), 0);
-  const parts = {
+  const deps = {
     roster,
     links: new EndpointLinks(),
     view: new EndpointView(),
@@ -77,10 +77,10 @@
     metrics: new GatewayMetrics(),
     logger: silentLogger,
   };
-  t.teardown(() => parts.links.close());
+  t.teardown(() => deps.links.close());
   const front = http.createServer((req, res) => {
     const call = new StreamCall(
-      parts,
+      deps,
       {
         method: 'POST',
         path: '/x',
@@ -115,7 +115,7 @@
   readonly status: number | undefined;
   readonly stamp: string | undefined;
   readonly text: string;
-  readonly isWhole: boolean;
+  readonly isComplete: boolean;
 }
 
 function ask(port: number, onText?: (text: string) => void): Promise<Received> {
@@ -126,12 +126,12 @@
         text += part;
         onText?.(part);
       });
-      const finish = (isWhole: boolean) =>
+      const finish = (isComplete: boolean) =>
         resolve({
           status: res.statusCode,
           stamp: res.headers['stamp'] as string | undefined,
           text,
-          isWhole,
+          isComplete: isComplete,
         });
       res.on('error', () => finish(false));
       res.on('end', () => finish(res.complete));
@@ -140,35 +140,35 @@
   });
 }
 
-const WHOLE = 'id: 1\ndata: 1\n\nid: 2\ndata: 2\n\nid: 3\ndata: 3\n\n';
+const ALL_EVENTS = 'id: 1\ndata: 1\n\nid: 2\ndata: 2\n\nid: 3\ndata: 3\n\n';
 
 // A reader waits for the first word until the whole text is made.
 // 1. An endpoint sends its first event and works on.
 // Cause: answers of endpoints were read whole before a byte went on.
 test('an event reaches the caller before the next one is made', async t => {
-  let letGo: () => void = () => undefined;
-  const seen = new Promise<void>(resolve => (letGo = resolve));
+  let releaseNext: () => void = () => undefined;
+  const released = new Promise<void>(resolve => (releaseNext = resolve));
   const {port} = await startFront(t, async (_req, res) => {
     writeHead(res, 's1');
     writeEvent(res, 1);
-    await seen;
+    await released;
     writeEvent(res, 2);
     writeEvent(res, 3);
     res.end();
   });
-  const {text, isWhole, stamp} = await ask(port, () => letGo());
-  t.is(text, WHOLE);
+  const {text, isComplete, stamp} = await ask(port, () => releaseNext());
+  t.is(text, ALL_EVENTS);
   t.is(stamp, 's1');
-  t.true(isWhole);
+  t.true(isComplete);
 });
 
 // A reader sees a text that is cut off in the middle of a word, or twice.
 // 1. An endpoint breaks off in the middle of its second event.
 // 2. The stream goes on elsewhere after the last whole event.
 test('a stream that may be resumed goes on in the same answer', async t => {
-  const asked: unknown[] = [];
+  const lastEventIds: unknown[] = [];
   const {port} = await startFront(t, async (req, res, count) => {
-    asked.push(req.headers['last-id']);
+    lastEventIds.push(req.headers['last-id']);
     writeHead(res, `s${count}`);
     if (count === 0) {
       writeEvent(res, 1);
@@ -181,11 +181,11 @@
     writeEvent(res, 3);
     res.end();
   });
-  const {text, isWhole, stamp} = await ask(port);
-  t.is(text, WHOLE);
+  const {text, isComplete, stamp} = await ask(port);
+  t.is(text, ALL_EVENTS);
   t.is(stamp, 's0', 'the head and proof are those of the first endpoint');
-  t.true(isWhole);
-  t.deepEqual(asked, [undefined, '1']);
+  t.true(isComplete);
+  t.deepEqual(lastEventIds, [undefined, '1']);
 });
 
 // A request that may run once runs twice, or half an answer passes for whole.
@@ -202,8 +202,8 @@
     },
     {resumable: false},
   );
-  const {isWhole} = await ask(front.port);
-  t.false(isWhole);
+  const {isComplete} = await ask(front.port);
+  t.false(isComplete);
   t.is(front.countRequests(), 1);
 });
 
@@ -219,9 +219,9 @@
     }
     res.end();
   });
-  const {text, isWhole} = await ask(port);
+  const {text, isComplete} = await ask(port);
   t.is(text, 'id: 1\ndata: 1\n\n');
-  t.false(isWhole);
+  t.false(isComplete);
 });
 
 test('a failure before the first event is told as such', async t => {
--- a/packages/daemon/src/gateway/requests/forward_request.ts
+++ b/packages/daemon/src/gateway/requests/forward_request.ts
@@ -25,7 +25,7 @@
   readonly deadlineMs: number;
 }
 
-export interface ForwarderParts {
+export interface ForwarderDeps {
   readonly roster: EndpointRoster;
   readonly links: EndpointLinks;
   readonly view: EndpointView;
--- a/packages/daemon/src/gateway/requests/forwarder.ts
+++ b/packages/daemon/src/gateway/requests/forwarder.ts
@@ -16,7 +16,7 @@
 } from '@radishyoke/core/routing/route_table';
 import {createError, type RadishyokeError} from '@radishyoke/shared/error_kind';
 import type {ServerResponse} from 'node:http';
-import {judgeEnd} from '../crashes/watched_request.js';
+import {toWatchedEnd} from '../crashes/watched_request.js';
 import {
   ENDPOINT_GONE,
   type EndpointAnswer,
@@ -24,8 +24,8 @@
   type ExchangeOutcome,
 } from '../endpoints/endpoint_exchange.js';
 import {pickEndpoint} from '../endpoints/endpoint_picker.js';
-import type {ForwarderParts, ForwardRequest} from './forward_request.js';
-import {RequestGuard} from './request_guard.js';
+import type {ForwarderDeps, ForwardRequest} from './forward_request.js';
+import {QuarantineGuard} from './quarantine_guard.js';
 import {StreamCall} from './stream_call.js';
 
 export type ForwardOutcome =
@@ -33,23 +33,23 @@
   | {readonly kind: 'failed'; readonly error: RadishyokeError};
 
 /** An endpoint gets this much less than is left, ms: its answer has to travel back. */
-const RETURN_MS = 4;
+const RETURN_TRIP_MS = 4;
 /** Less time than this is not worth an attempt, ms. */
 const MIN_ATTEMPT_MS = 8;
 /** When to come back after nothing could take the request, ms: about as long as the list of endpoints lags. */
 const RETRY_AFTER_MS = 150;
 
 export class Forwarder {
-  constructor(private readonly parts: ForwarderParts) {}
+  constructor(private readonly deps: ForwarderDeps) {}
 
   /** Starts `req`; the returned call can be given up. */
   start(req: ForwardRequest): ForwardCall {
-    return new ForwardCall(this.parts, req);
+    return new ForwardCall(this.deps, req);
   }
 
   /** Starts `req`, whose answer is a series of events for `res`. */
   startStream(req: ForwardRequest, res: ServerResponse): StreamCall {
-    return new StreamCall(this.parts, req, res);
+    return new StreamCall(this.deps, req, res);
   }
 }
 
@@ -60,18 +60,18 @@
   private readonly pending = new Set<EndpointExchange>();
   private readonly terms: RequestTerms;
   private readonly service: string | undefined;
-  private readonly guard: RequestGuard;
-  private ran = 0;
-  private notRun = 0;
+  private readonly guard: QuarantineGuard;
+  private ranCount = 0;
+  private notRunCount = 0;
   private isSettled = false;
-  private isCounted = false;
-  private failure: EndpointAnswer | undefined;
+  private isUsageCounted = false;
+  private failedAnswer: EndpointAnswer | undefined;
   private hedgeTimer: NodeJS.Timeout | undefined;
   private deadlineTimer: NodeJS.Timeout | undefined;
   private resolve: (outcome: ForwardOutcome) => void = () => undefined;
 
   constructor(
-    private readonly parts: ForwarderParts,
+    private readonly deps: ForwarderDeps,
     private readonly req: ForwardRequest,
   ) {
     const {route} = req;
@@ -81,13 +81,13 @@
       objectiveMs: route.objectiveMs,
     };
     const {attemptId} = req;
-    const draw =
+    const random =
       attemptId === undefined ? Math.random() : hashToUnitInterval(attemptId);
-    this.service = pickService(route, draw);
-    this.guard = new RequestGuard(parts, req);
+    this.service = pickService(route, random);
+    this.guard = new QuarantineGuard(deps, req);
     this.outcome = new Promise(resolve => (this.resolve = resolve));
-    const leftMs = Math.max(req.deadlineMs - performance.now(), 0);
-    this.deadlineTimer = setTimeout(() => this.expire(), leftMs);
+    const remainingMs = Math.max(req.deadlineMs - performance.now(), 0);
+    this.deadlineTimer = setTimeout(() => this.expire(), remainingMs);
     this.attempt();
     this.scheduleHedge();
   }
@@ -101,102 +101,107 @@
     const hedgeMs = measureHedgeMs(this.terms);
     if (hedgeMs === undefined || this.isSettled) return;
     this.hedgeTimer = setTimeout(() => {
-      const isFree = this.pending.size === 1 && this.ran < this.terms.attempts;
-      if (isFree && !this.guard.isSuspect) this.attempt();
+      const canHedge =
+        this.pending.size === 1 && this.ranCount < this.terms.attempts;
+      if (canHedge && !this.guard.isSuspected) this.attempt();
     }, hedgeMs);
   }
 
   private attempt(): void {
-    const leftMs = this.req.deadlineMs - performance.now();
-    if (leftMs < MIN_ATTEMPT_MS) return this.expire();
-    if (this.guard.isHeld) return this.endHeld();
-    const entry = this.choose();
-    if (!entry) return this.endWithoutEndpoint();
+    const remainingMs = this.req.deadlineMs - performance.now();
+    if (remainingMs < MIN_ATTEMPT_MS) return this.expire();
+    if (this.guard.isQuarantined) return this.settleQuarantined();
+    const entry = this.chooseEndpoint();
+    if (!entry) return this.settleWithoutEndpoint();
     this.tried.add(entry.id);
-    void this.runAt(entry);
+    void this.runAttempt(entry);
   }
 
-  private choose(): EndpointEntry | undefined {
+  private chooseEndpoint(): EndpointEntry | undefined {
     if (this.service === undefined) return undefined;
-    return pickEndpoint(this.parts, this.service, this.tried);
+    return pickEndpoint(this.deps, this.service, this.tried);
   }
 
-  private async runAt(entry: EndpointEntry): Promise<void> {
-    const {links, view, protocol} = this.parts;
-    const exchange = new EndpointExchange(links.open(entry), protocol, entry);
-    this.pending.add(exchange);
-    this.ran += 1;
-    view.noteStart(entry);
+  private async runAttempt(entry: EndpointEntry): Promise<void> {
+    const {links, view, protocol} = this.deps;
+    const attempt = new EndpointExchange(
+      links.getAgent(entry),
+      protocol,
+      entry,
+    );
+    this.pending.add(attempt);
+    this.ranCount += 1;
+    view.recordStart(entry);
     const startedMs = performance.now();
-    const outcome = await this.exchange(entry, exchange);
-    view.noteEnd(entry);
-    this.pending.delete(exchange);
-    if (mayHaveRun(outcome)) this.noteBegun(exchange);
+    const outcome = await this.runExchange(entry, attempt);
+    view.recordEnd(entry);
+    this.pending.delete(attempt);
+    if (mayHaveRun(outcome)) this.countUsage(attempt);
     if (this.isSettled) return;
-    this.learn(entry, outcome);
+    this.recordOutcome(entry, outcome);
     this.logAttempt(entry, outcome, performance.now() - startedMs);
-    if (outcome.kind === 'unknown') await this.guard.settle(entry);
-    if (!this.isSettled) this.conclude(outcome);
+    if (outcome.kind === 'unknown') await this.guard.waitForCrashCheck(entry);
+    if (!this.isSettled) this.handleOutcome(outcome);
   }
 
-  private async exchange(
+  private async runExchange(
     entry: EndpointEntry,
     exchange: EndpointExchange,
   ): Promise<ExchangeOutcome> {
-    const {protocol} = this.parts;
+    const {protocol} = this.deps;
     const {method, path, headers, body, attemptId, caller} = this.req;
-    const isFit = await this.guard.isFit(entry);
-    if (!isFit || this.isSettled) return ENDPOINT_GONE;
-    const watched = this.guard.begin(entry);
-    const leftMs = this.req.deadlineMs - performance.now();
+    const maySend = await this.guard.maySendTo(entry);
+    if (!maySend || this.isSettled) return ENDPOINT_GONE;
+    const watched = this.guard.recordStart(entry);
+    const remainingMs = this.req.deadlineMs - performance.now();
     const outcome = await exchange.run({
       method,
       path,
       headers: protocol.forwardHeaders(headers, {
         endpointId: entry.id,
-        deadlineMs: Math.max(Math.floor(leftMs - RETURN_MS), 1),
+        deadlineMs: Math.max(Math.floor(remainingMs - RETURN_TRIP_MS), 1),
         caller,
       }),
       body,
       attemptId,
     });
-    watched.end(judgeEnd(outcome.kind, exchange.isOwnEnd));
+    watched.end(toWatchedEnd(outcome.kind, exchange.isEndedLocally));
     return outcome;
   }
 
   /** A request counts once in usage, from the first endpoint that had it. */
-  private noteBegun(exchange: EndpointExchange): void {
-    if (this.isCounted) return;
-    this.isCounted = true;
-    const sent = [exchange, ...this.pending].map(({sentMs}) => sentMs);
-    const firstMs = Math.min(...sent.map(ms => ms ?? Infinity));
-    const {meter} = this.parts;
-    meter?.note(this.req.caller, toUnixMs(firstMs));
+  private countUsage(exchange: EndpointExchange): void {
+    if (this.isUsageCounted) return;
+    this.isUsageCounted = true;
+    const sendTimesMs = [exchange, ...this.pending].map(({sentMs}) => sentMs);
+    const firstMs = Math.min(...sendTimesMs.map(ms => ms ?? Infinity));
+    const {meter} = this.deps;
+    meter?.record(this.req.caller, toUnixMs(firstMs));
   }
 
-  private learn(entry: EndpointEntry, outcome: ExchangeOutcome): void {
-    const {view, links} = this.parts;
-    view.noteOutcome(entry, outcome, performance.now());
-    if (outcome.kind === 'unknown') links.renew(entry.id);
+  private recordOutcome(entry: EndpointEntry, outcome: ExchangeOutcome): void {
+    const {view, links} = this.deps;
+    view.recordOutcome(entry, outcome, performance.now());
+    if (outcome.kind === 'unknown') links.closeIdle(entry.id);
   }
 
-  private conclude(outcome: ExchangeOutcome): void {
+  private handleOutcome(outcome: ExchangeOutcome): void {
     if (outcome.kind === 'not_executed' || outcome.kind === 'unsent') {
-      this.ran -= 1;
-      this.notRun += 1;
+      this.ranCount -= 1;
+      this.notRunCount += 1;
     }
-    const tally = {ran: this.ran, notRun: this.notRun};
+    const tally = {ran: this.ranCount, notRun: this.notRunCount};
     const next = decideNextStep(this.terms, toAttemptEnd(outcome), tally);
     switch (next.kind) {
       case 'pass_on':
         if (outcome.kind !== 'answered') return;
-        this.failure = outcome.answer;
+        this.failedAnswer = outcome.answer;
         // Another attempt may still bring a success.
         if (outcome.answer.status >= 500 && this.pending.size > 0) return;
         this.settle({kind: 'answered', answer: outcome.answer});
         return;
       case 'try_again':
-        if (outcome.kind === 'answered') this.failure = outcome.answer;
+        if (outcome.kind === 'answered') this.failedAnswer = outcome.answer;
         // A hedge that is still out takes the place of the next attempt.
         if (this.pending.size === 0) this.attempt();
         return;
@@ -208,17 +213,17 @@
     }
   }
 
-  private endWithoutEndpoint(): void {
+  private settleWithoutEndpoint(): void {
     if (this.pending.size > 0) return;
-    if (this.ran === 0) this.refuse('no endpoint is usable');
+    if (this.ranCount === 0) this.refuse('no endpoint is usable');
     else this.fail('no other endpoint is usable');
   }
 
   /** Requests like this one crash endpoints: none is tried any more. */
-  private endHeld(): void {
+  private settleQuarantined(): void {
     if (this.pending.size > 0) return;
     const error = this.guard.refuse();
-    if (this.ran === 0) this.settle({kind: 'failed', error});
+    if (this.ranCount === 0) this.settle({kind: 'failed', error});
     else this.fail(error.detail);
   }
 
@@ -229,8 +234,8 @@
   }
 
   private fail(detail: string): void {
-    if (this.failure) {
-      this.settle({kind: 'answered', answer: this.failure});
+    if (this.failedAnswer) {
+      this.settle({kind: 'answered', answer: this.failedAnswer});
       return;
     }
     const kind = this.terms.isRepeatable
@@ -241,7 +246,8 @@
 
   private expire(): void {
     // A request that never left may be refused; one that did may have run.
-    const kind = this.ran === 0 ? 'deadline_unreachable' : 'deadline_passed';
+    const kind =
+      this.ranCount === 0 ? 'deadline_unreachable' : 'deadline_passed';
     this.settle({kind: 'failed', error: createError(kind)});
   }
 
@@ -260,8 +266,8 @@
     tookMs: number,
   ): void {
     if (outcome.kind === 'answered' && outcome.answer.status < 500) return;
-    this.parts.metrics.count(`attempt_${outcome.kind}`);
-    this.parts.logger.log('warn', 'attempt failed', {
+    this.deps.metrics.count(`attempt_${outcome.kind}`);
+    this.deps.logger.log('warn', 'attempt failed', {
       requestId: this.req.attemptId,
       rule: this.req.route.name,
       configVersion: this.req.configVersion,
--- a/packages/daemon/src/gateway/requests/front_server.ts
+++ b/packages/daemon/src/gateway/requests/front_server.ts
@@ -17,7 +17,7 @@
 import type {BatchApi} from '../batches/batch_api.js';
 import {answerError, copyHeaders} from './caller_answer.js';
 import type {CallerProtocol} from './caller_protocol.js';
-import {describeKey} from './key_fingerprint.js';
+import {fingerprintKey} from './key_fingerprint.js';
 import type {ConfigHolder} from '../store/config_holder.js';
 import type {EndpointAnswer} from '../endpoints/endpoint_exchange.js';
 import type {ForwardRequest} from './forward_request.js';
@@ -25,7 +25,7 @@
 import type {StreamResult} from './stream_call.js';
 import type {GatewayMetrics} from '../gateway_metrics.js';
 
-export interface FrontParts {
+export interface FrontDeps {
   readonly protocol: CallerProtocol;
   readonly config: ConfigHolder;
   readonly forwarder: Forwarder;
@@ -45,22 +45,22 @@
 /** Limits until the operator's are known. */
 const DEFAULT_MAX_HEADER_BYTES = 64 * 1024;
 /** Bodies that are held at once over all requests, bytes: an eighth of the smallest VM's memory. */
-const MAX_HELD_BYTES = 24 * 1024 * 1024;
+const MAX_BUFFERED_BYTES = 24 * 1024 * 1024;
 /** A connection is kept a little longer than callers may reuse it, ms. */
 const IDLE_SLACK_MS = 1000;
 /** Used where a caller states no deadline and the route no time-out, ms. */
 const DEFAULT_TIMEOUT_MS = 10_000;
 /** The answer leaves this long before the caller stops waiting, ms. */
-const ANSWER_MS = 5;
+const ANSWER_MARGIN_MS = 5;
 
 export class FrontServer {
   private readonly server: http.Server;
-  private heldBytes = 0;
-  private active = 0;
+  private bufferedBytes = 0;
+  private activeRequests = 0;
   private isDraining = false;
   private onIdle: (() => void) | undefined;
 
-  constructor(private readonly parts: FrontParts) {
+  constructor(private readonly deps: FrontDeps) {
     this.server = http.createServer(
       {
         maxHeaderSize: DEFAULT_MAX_HEADER_BYTES,
@@ -78,7 +78,7 @@
 
   /** Takes over the operator's limits; called on each new configuration. */
   applyLimits(): void {
-    const limits = this.parts.config.table?.cfg.limits;
+    const limits = this.deps.config.table?.cfg.limits;
     if (!limits) return;
     this.server.keepAliveTimeout = limits.idleTimeoutMs + IDLE_SLACK_MS;
     this.server.headersTimeout =
@@ -94,7 +94,7 @@
   finish(): Promise<void> {
     this.server.close();
     this.server.closeIdleConnections();
-    if (this.active === 0) return Promise.resolve();
+    if (this.activeRequests === 0) return Promise.resolve();
     return new Promise(resolve => (this.onIdle = resolve));
   }
 
@@ -107,10 +107,10 @@
     req: http.IncomingMessage,
     res: http.ServerResponse,
   ): Promise<void> {
-    this.active += 1;
+    this.activeRequests += 1;
     res.once('close', () => {
-      this.active -= 1;
-      if (this.active === 0) this.onIdle?.();
+      this.activeRequests -= 1;
+      if (this.activeRequests === 0) this.onIdle?.();
     });
     if (this.isDraining) res.setHeader('Connection', 'close');
     const receivedMs = performance.now();
@@ -120,8 +120,8 @@
       // A fault of ours: what it did to the request is not known.
       const detail =
         err instanceof Error ? (err.stack ?? err.message) : 'unknown';
-      this.parts.logger.log('error', 'request failed inside', {
-        requestId: this.parts.protocol.readAttempt(req.headers).id,
+      this.deps.logger.log('error', 'request failed inside', {
+        requestId: this.deps.protocol.readAttempt(req.headers).id,
         detail,
       });
       this.sendError(res, createError('internal'));
@@ -133,7 +133,7 @@
     res: http.ServerResponse,
     receivedMs: number,
   ): Promise<void> {
-    const {protocol, config, batches} = this.parts;
+    const {protocol, config, batches} = this.deps;
     const method = req.method ?? 'GET';
     const path = req.url ?? '/';
     const call = protocol.decodeCall(method, path, req.headers);
@@ -145,8 +145,8 @@
       req.resume();
       // What was submitted by a public rule needs no key later either; whose
       // batch it is, the batch itself tells.
-      const isOpen = protocol.readKey(req.headers) === undefined;
-      const admitted = await this.admit(req, isOpen);
+      const isKeyless = protocol.readKey(req.headers) === undefined;
+      const admitted = await this.admit(req, isKeyless);
       if (!admitted.ok) return this.refuse(req, res, admitted.error);
       return batches.answer(call.value, admitted.value, res);
     }
@@ -162,7 +162,7 @@
       return this.refuse(req, res, caller.error);
     }
     const {maxBodyBytes} = config.table!.cfg.limits;
-    const body = await this.takeBody(req, res, maxBodyBytes);
+    const body = await this.receiveBody(req, res, maxBodyBytes);
     if (!body) return;
     const matched = {route: route.value, caller: caller.value};
     try {
@@ -172,15 +172,15 @@
       }
       await this.forward(req, res, matched, body, receivedMs);
     } finally {
-      this.heldBytes -= body.length;
+      this.bufferedBytes -= body.length;
     }
   }
 
   /** The rule that decides; that there is none is said only by a VM that has read the newest configuration. */
   private async findRoute(host: string, path: string): Promise<Result<Route>> {
-    const {config} = this.parts;
-    const known = config.table?.match(host, path);
-    if (known) return succeed(known);
+    const {config} = this.deps;
+    const match = config.table?.match(host, path);
+    if (match) return succeed(match);
     if (!config.table || !(await config.isComplete())) {
       return fail(createError('not_current'));
     }
@@ -192,7 +192,7 @@
     req: http.IncomingMessage,
     isPublic: boolean,
   ): Promise<Result<Caller>> {
-    const {protocol, config} = this.parts;
+    const {protocol, config} = this.deps;
     const key = protocol.readKey(req.headers);
     const admission = await config.admit(key, isPublic);
     switch (admission.kind) {
@@ -209,12 +209,12 @@
     }
   }
 
-  private async takeBody(
+  private async receiveBody(
     req: http.IncomingMessage,
     res: http.ServerResponse,
     maxBytes: number,
   ): Promise<Buffer | undefined> {
-    if (this.heldBytes > MAX_HELD_BYTES) {
+    if (this.bufferedBytes > MAX_BUFFERED_BYTES) {
       req.resume();
       const detail = 'too many bodies are held';
       this.refuse(
@@ -229,7 +229,7 @@
       this.refuse(req, res, body.error);
       return undefined;
     }
-    this.heldBytes += body.value.length;
+    this.bufferedBytes += body.value.length;
     return body.value;
   }
 
@@ -240,7 +240,7 @@
     body: Buffer,
     receivedMs: number,
   ): Promise<void> {
-    const {protocol, config} = this.parts;
+    const {protocol, config} = this.deps;
     const attempt = protocol.readAttempt(req.headers);
     const timeoutMs = Math.min(
       attempt.deadlineMs ?? Infinity,
@@ -256,7 +256,7 @@
       caller,
       route,
       configVersion: config.version,
-      deadlineMs: receivedMs + timeoutMs - ANSWER_MS,
+      deadlineMs: receivedMs + timeoutMs - ANSWER_MARGIN_MS,
     };
     const outcome =
       route.kind === 'streaming'
@@ -264,11 +264,11 @@
         : await this.exchange(forwarded, res);
     const tookMs = performance.now() - receivedMs;
     if (outcome.kind === 'whole') {
-      return this.report(forwarded, 'whole', tookMs);
+      return this.recordResult(forwarded, 'whole', tookMs);
     }
     if (res.destroyed) return;
-    this.report(forwarded, describeOutcome(outcome), tookMs);
-    if (outcome.kind === 'answered') this.passOn(res, outcome.answer);
+    this.recordResult(forwarded, describeOutcome(outcome), tookMs);
+    if (outcome.kind === 'answered') this.sendAnswer(res, outcome.answer);
     else this.sendError(res, outcome.error);
   }
 
@@ -276,7 +276,7 @@
     req: ForwardRequest,
     res: http.ServerResponse,
   ): Promise<ForwardOutcome> {
-    const call = this.parts.forwarder.start(req);
+    const call = this.deps.forwarder.start(req);
     res.once('close', () => call.abandon());
     return call.outcome;
   }
@@ -285,12 +285,12 @@
     req: ForwardRequest,
     res: http.ServerResponse,
   ): Promise<StreamResult> {
-    const call = this.parts.forwarder.startStream(req, res);
+    const call = this.deps.forwarder.startStream(req, res);
     res.once('close', () => call.abandon());
     return call.run();
   }
 
-  private passOn(res: http.ServerResponse, answer: EndpointAnswer): void {
+  private sendAnswer(res: http.ServerResponse, answer: EndpointAnswer): void {
     copyHeaders(answer.rawHeaders, res);
     res.statusCode = answer.status;
     res.setHeader('Content-Length', answer.body.length);
@@ -302,28 +302,28 @@
     res: http.ServerResponse,
     error: RadishyokeError,
   ): void {
-    this.parts.metrics.count(`refused_${error.kind}`);
-    this.parts.logger.log('info', 'request refused', {
-      requestId: this.parts.protocol.readAttempt(req.headers).id,
-      configVersion: this.parts.config.version,
+    this.deps.metrics.count(`refused_${error.kind}`);
+    this.deps.logger.log('info', 'request refused', {
+      requestId: this.deps.protocol.readAttempt(req.headers).id,
+      configVersion: this.deps.config.version,
       host: req.headers.host,
       path: req.url,
-      key: describeKey(this.parts.protocol.readKey(req.headers)),
+      key: fingerprintKey(this.deps.protocol.readKey(req.headers)),
       outcome: error.kind,
     });
     this.sendError(res, error);
   }
 
   private sendError(res: http.ServerResponse, error: RadishyokeError): void {
-    answerError(res, this.parts.protocol, error);
+    answerError(res, this.deps.protocol, error);
   }
 
-  private report(
+  private recordResult(
     {route, caller, attemptId, configVersion}: ForwardRequest,
     result: string,
     tookMs: number,
   ): void {
-    const {metrics, logger} = this.parts;
+    const {metrics, logger} = this.deps;
     const account = caller.kind === 'account' ? caller.name : undefined;
     metrics.recordResult('requests', route.name, result, tookMs);
     if (account !== undefined) {
--- a/packages/daemon/src/gateway/requests/key_fingerprint.ts
+++ b/packages/daemon/src/gateway/requests/key_fingerprint.ts
@@ -3,10 +3,13 @@
 import {createHash} from 'node:crypto';
 
 /** Hexadecimal digits kept: enough to tell the keys of a deployment apart, too few to find one. */
-const DIGITS = 8;
+const FINGERPRINT_DIGITS = 8;
 
 /** A short text that is the same for the same key; undefined for none. */
-export function describeKey(key: string | undefined): string | undefined {
+export function fingerprintKey(key: string | undefined): string | undefined {
   if (key === undefined) return undefined;
-  return createHash('sha256').update(key).digest('hex').slice(0, DIGITS);
+  return createHash('sha256')
+    .update(key)
+    .digest('hex')
+    .slice(0, FINGERPRINT_DIGITS);
 }
--- a/packages/daemon/src/gateway/requests/request_guard.ts
+++ b/packages/daemon/src/gateway/requests/quarantine_guard.ts
@@ -3,52 +3,52 @@
 import type {EndpointEntry} from '@radishyoke/core/fleet/endpoint_entry';
 import {createError, type RadishyokeError} from '@radishyoke/shared/error_kind';
 import type {WatchedRequest} from '../crashes/watched_request.js';
-import type {ForwarderParts, ForwardRequest} from './forward_request.js';
-import {fingerprintForward} from './request_fingerprints.js';
+import type {ForwarderDeps, ForwardRequest} from './forward_request.js';
+import {fingerprintForwardRequest} from './request_fingerprints.js';
 
-export class RequestGuard {
-  private known: string | undefined;
-  private readonly name = () => this.fingerprint;
+export class QuarantineGuard {
+  private cachedFingerprint: string | undefined;
+  private readonly getFingerprint = () => this.fingerprint;
 
   constructor(
-    private readonly parts: ForwarderParts,
+    private readonly deps: ForwarderDeps,
     private readonly req: ForwardRequest,
   ) {}
 
   get fingerprint(): string {
-    this.known ??= fingerprintForward(this.req);
-    return this.known;
+    this.cachedFingerprint ??= fingerprintForwardRequest(this.req);
+    return this.cachedFingerprint;
   }
 
-  get isHeld(): boolean {
-    return this.parts.crashes.isHeld(this.name);
+  get isQuarantined(): boolean {
+    return this.deps.crashes.isQuarantined(this.getFingerprint);
   }
 
   /** Whether requests like this one were beside a crash before. */
-  get isSuspect(): boolean {
-    return this.parts.crashes.isSuspect(this.name);
+  get isSuspected(): boolean {
+    return this.deps.crashes.isSuspected(this.getFingerprint);
   }
 
   /** Whether the request may go to the endpoint: a suspect only to one that is there. */
-  isFit(entry: EndpointEntry): Promise<boolean> {
-    return this.parts.crashes.isFit(entry, this.name);
+  maySendTo(entry: EndpointEntry): Promise<boolean> {
+    return this.deps.crashes.maySendTo(entry, this.getFingerprint);
   }
 
-  begin(entry: EndpointEntry): WatchedRequest {
-    return this.parts.crashes.begin(entry, this.name);
+  recordStart(entry: EndpointEntry): WatchedRequest {
+    return this.deps.crashes.recordStart(entry, this.getFingerprint);
   }
 
   /** A suspect's broken connection is judged before it goes to another endpoint. */
-  async settle({id}: EndpointEntry): Promise<void> {
-    if (this.isSuspect) await this.parts.crashes.settle(id);
+  async waitForCrashCheck({id}: EndpointEntry): Promise<void> {
+    if (this.isSuspected) await this.deps.crashes.waitForCheck(id);
   }
 
   /** The error for a request that is held back. */
   refuse(): RadishyokeError {
-    const {crashes, logger, metrics} = this.parts;
+    const {crashes, logger, metrics} = this.deps;
     const {attemptId: requestId, route, configVersion} = this.req;
     const {fingerprint} = this;
-    const retryAfterMs = crashes.measureHoldMs(fingerprint);
+    const retryAfterMs = crashes.measureQuarantineMs(fingerprint);
     metrics.count('requests_held_back');
     logger.log('info', 'request held back', {
       requestId,
--- a/packages/daemon/src/gateway/requests/request_fingerprints.ts
+++ b/packages/daemon/src/gateway/requests/request_fingerprints.ts
@@ -15,23 +15,27 @@
 /** Items and reward calls are sent with this method. */
 const BATCH_METHOD = 'POST';
 
-export function fingerprintForward(req: ForwardRequest): string {
+export function fingerprintForwardRequest(req: ForwardRequest): string {
   const {method, path, headers, body, caller} = req;
   const host = headers.host ?? '';
-  return fingerprintRequest({method, host, path, body, ...nameOwner(caller)});
+  return fingerprintRequest({method, host, path, body, ...toOwner(caller)});
 }
 
 export function fingerprintItem({item, batch}: Job): string {
   const {host} = batch.batch;
-  return fingerprintCall(batch.batch, {host, path: item.path, body: item.body});
+  return fingerprintBatchCall(batch.batch, {
+    host,
+    path: item.path,
+    body: item.body,
+  });
 }
 
 export function fingerprintReward({batch}: Job, reward: RewardRequest): string {
-  return fingerprintCall(batch.batch, reward);
+  return fingerprintBatchCall(batch.batch, reward);
 }
 
 /** What is sent for a batch is asked in the name of its account. */
-function fingerprintCall(
+function fingerprintBatchCall(
   {account}: BatchHeader,
   {host, path, body}: Pick<RequestContent, 'host' | 'path' | 'body'>,
 ): string {
@@ -39,6 +43,6 @@
   return fingerprintRequest({method: BATCH_METHOD, host, path, body, ...owner});
 }
 
-function nameOwner(caller: Caller): {readonly account?: string} {
+function toOwner(caller: Caller): {readonly account?: string} {
   return caller.kind === 'account' ? {account: caller.name} : {};
 }
--- a/packages/daemon/src/gateway/requests/stream_call.ts
+++ b/packages/daemon/src/gateway/requests/stream_call.ts
@@ -18,7 +18,7 @@
   pickService,
 } from '@radishyoke/core/routing/route_table';
 import {createError, type RadishyokeError} from '@radishyoke/shared/error_kind';
-import {judgeEnd, type WatchedRequest} from '../crashes/watched_request.js';
+import {toWatchedEnd, type WatchedRequest} from '../crashes/watched_request.js';
 import {
   ENDPOINT_GONE,
   type EndpointAnswer,
@@ -31,8 +31,8 @@
 } from '../endpoints/endpoint_stream.js';
 import type {RawEvent} from '../endpoints/event_splitter.js';
 import {copyHeaders} from './caller_answer.js';
-import type {ForwarderParts, ForwardRequest} from './forward_request.js';
-import {RequestGuard} from './request_guard.js';
+import type {ForwarderDeps, ForwardRequest} from './forward_request.js';
+import {QuarantineGuard} from './quarantine_guard.js';
 
 /** What became of a stream. */
 export type StreamResult =
@@ -46,7 +46,7 @@
 /** A stream that may be resumed and is silent for this long goes on elsewhere, ms: callers give up after 2,000, and the longest load of weights that engines were seen to take is about 900. */
 const STALL_MS = 1500;
 /** The endpoint gets this much less than is left, ms. */
-const RETURN_MS = 4;
+const RETURN_TRIP_MS = 4;
 /** When to come back after nothing could take the request, ms: about as long as the list of endpoints lags. */
 const RETRY_AFTER_MS = 150;
 
@@ -54,20 +54,20 @@
   private readonly terms: RequestTerms;
   private readonly service: string | undefined;
   private readonly tried = new Set<string>();
-  private readonly guard: RequestGuard;
+  private readonly guard: QuarantineGuard;
   private stream: EndpointStream | undefined;
-  private watched: WatchedRequest | undefined;
+  private watchedRequest: WatchedRequest | undefined;
   private stallTimer: NodeJS.Timeout | undefined;
   /** Head of the first endpoint's answer. */
-  private head: readonly string[] | undefined;
+  private firstRawHeaders: readonly string[] | undefined;
   private lastEventId: number | undefined;
-  private ran = 0;
-  private notRun = 0;
-  private isOver = false;
-  private isCounted = false;
+  private ranCount = 0;
+  private notRunCount = 0;
+  private isFinished = false;
+  private isUsageCounted = false;
 
   constructor(
-    private readonly parts: ForwarderParts,
+    private readonly deps: ForwarderDeps,
     private readonly req: ForwardRequest,
     private readonly res: ServerResponse,
   ) {
@@ -77,43 +77,43 @@
       attempts: route.attempts,
       objectiveMs: route.objectiveMs,
     };
-    const draw =
+    const random =
       attemptId === undefined ? Math.random() : hashToUnitInterval(attemptId);
-    this.service = pickService(route, draw);
-    this.guard = new RequestGuard(parts, req);
+    this.service = pickService(route, random);
+    this.guard = new QuarantineGuard(deps, req);
   }
 
   /** Runs until the caller has its answer; never rejects. */
   async run(): Promise<StreamResult> {
-    const leftMs = Math.max(this.measureLeftMs(), 0);
-    const deadline = setTimeout(() => this.expire(), leftMs);
+    const remainingMs = Math.max(this.measureRemainingMs(), 0);
+    const deadline = setTimeout(() => this.expire(), remainingMs);
     const result = await this.runAttempts();
     clearTimeout(deadline);
     clearTimeout(this.stallTimer);
-    this.isOver = true;
+    this.isFinished = true;
     return result;
   }
 
   /** The caller has gone: the endpoint is told by the end of its connection. */
   abandon(): void {
-    this.end('the caller has gone');
+    this.stop('the caller has gone');
   }
 
   onHead(rawHeaders: readonly string[]): void {
-    this.head ??= rawHeaders;
+    this.firstRawHeaders ??= rawHeaders;
   }
 
   onEvent(event: RawEvent): boolean {
-    if (this.isOver) return true;
+    if (this.isFinished) return true;
     const {lastEventId} = this;
     const isNext =
       lastEventId === undefined ||
       event.id === undefined ||
       event.id === lastEventId + 1;
     if (!isNext) return false;
-    this.watched?.noteEvent();
-    if (lastEventId === undefined) this.noteBegun();
-    this.watchSilence();
+    this.watchedRequest?.recordEvent();
+    if (lastEventId === undefined) this.countUsage();
+    this.restartStallTimer();
     this.sendHead();
     this.res.write(event.bytes);
     this.lastEventId = event.id ?? lastEventId;
@@ -121,13 +121,13 @@
   }
 
   /** A stream counts in usage from its first event, at whichever endpoint that was made. */
-  private noteBegun(): void {
-    if (this.isCounted) return;
-    this.isCounted = true;
-    this.parts.meter?.note(this.req.caller, Date.now());
+  private countUsage(): void {
+    if (this.isUsageCounted) return;
+    this.isUsageCounted = true;
+    this.deps.meter?.record(this.req.caller, Date.now());
   }
 
-  waitForRoom(): Promise<void> | undefined {
+  waitForDrain(): Promise<void> | undefined {
     if (!this.res.writableNeedDrain) return undefined;
     clearTimeout(this.stallTimer);
     return new Promise(resolve => this.res.once('drain', resolve));
@@ -135,72 +135,80 @@
 
   private async runAttempts(): Promise<StreamResult> {
     for (;;) {
-      if (this.isOver) return this.fail('deadline_passed');
-      if (this.guard.isHeld) return this.endHeld();
+      if (this.isFinished) return this.fail('deadline_passed');
+      if (this.guard.isQuarantined) return this.refuseQuarantined();
       const entry =
         this.service === undefined
           ? undefined
-          : pickEndpoint(this.parts, this.service, this.tried);
-      if (!entry) return this.ran === 0 ? this.refuse() : this.fail();
+          : pickEndpoint(this.deps, this.service, this.tried);
+      if (!entry) return this.ranCount === 0 ? this.refuse() : this.fail();
       const outcome = await this.attempt(entry);
-      const result = this.conclude(outcome);
+      const result = this.handleOutcome(outcome);
       if (result) return result;
     }
   }
 
   private async attempt(entry: EndpointEntry): Promise<StreamOutcome> {
-    const {links, view} = this.parts;
+    const {links, view} = this.deps;
     this.tried.add(entry.id);
-    this.ran += 1;
-    view.noteStart(entry);
+    this.ranCount += 1;
+    view.recordStart(entry);
     const outcome = await this.runStream(entry);
-    view.noteEnd(entry);
-    if (outcome.kind === 'unknown') links.renew(entry.id);
+    view.recordEnd(entry);
+    if (outcome.kind === 'unknown') links.closeIdle(entry.id);
     this.logAttempt(entry, outcome);
-    if (outcome.kind === 'unknown') await this.guard.settle(entry);
+    if (outcome.kind === 'unknown') await this.guard.waitForCrashCheck(entry);
     return outcome;
   }
 
   private async runStream(entry: EndpointEntry): Promise<StreamOutcome> {
-    const {links, protocol} = this.parts;
+    const {links, protocol} = this.deps;
     const {method, path, headers, body, attemptId, caller} = this.req;
-    const isFit = await this.guard.isFit(entry);
-    if (!isFit || this.isOver) return ENDPOINT_GONE;
-    const watched = this.guard.begin(entry);
-    this.watched = watched;
-    const stream = new EndpointStream(links.open(entry), protocol, entry, this);
+    const maySend = await this.guard.maySendTo(entry);
+    if (!maySend || this.isFinished) return ENDPOINT_GONE;
+    const watched = this.guard.recordStart(entry);
+    this.watchedRequest = watched;
+    const stream = new EndpointStream(
+      links.getAgent(entry),
+      protocol,
+      entry,
+      this,
+    );
     this.stream = stream;
-    this.watchSilence();
+    this.restartStallTimer();
     const {lastEventId} = this;
     const outcome = await stream.run({
       method,
       path,
       headers: protocol.forwardHeaders(headers, {
         endpointId: entry.id,
-        deadlineMs: Math.max(Math.floor(this.measureLeftMs() - RETURN_MS), 1),
+        deadlineMs: Math.max(
+          Math.floor(this.measureRemainingMs() - RETURN_TRIP_MS),
+          1,
+        ),
         caller,
         ...(lastEventId === undefined ? {} : {lastEventId}),
       }),
       body,
       attemptId,
     });
-    watched.end(judgeEnd(outcome.kind, stream.isOwnEnd));
+    watched.end(toWatchedEnd(outcome.kind, stream.isEndedLocally));
     return outcome;
   }
 
   /** The result, or undefined where another attempt follows. */
-  private conclude(outcome: StreamOutcome): StreamResult | undefined {
+  private handleOutcome(outcome: StreamOutcome): StreamResult | undefined {
     if (outcome.kind === 'whole') {
       this.sendHead();
       this.res.end();
       return {kind: 'whole'};
     }
-    if (this.isOver) return this.fail('deadline_passed');
+    if (this.isFinished) return this.fail('deadline_passed');
     if (outcome.kind === 'not_executed' || outcome.kind === 'unsent') {
-      this.ran -= 1;
-      this.notRun += 1;
+      this.ranCount -= 1;
+      this.notRunCount += 1;
     }
-    const tally = {ran: this.ran, notRun: this.notRun};
+    const tally = {ran: this.ranCount, notRun: this.notRunCount};
     switch (decideNextStep(this.terms, toAttemptEnd(outcome), tally).kind) {
       case 'try_again':
         return undefined;
@@ -219,36 +227,36 @@
   private sendHead(): void {
     if (this.res.headersSent) return;
     this.res.statusCode = 200;
-    copyHeaders(this.head ?? [], this.res);
+    copyHeaders(this.firstRawHeaders ?? [], this.res);
     this.res.flushHeaders();
   }
 
   /** A connection can go silent for good; of a stream that may not be resumed silence is no reason to end it. */
-  private watchSilence(): void {
+  private restartStallTimer(): void {
     clearTimeout(this.stallTimer);
     if (!this.terms.isRepeatable) return;
     const {stream} = this;
-    const stop = () => stream?.breakOff(`no event in ${STALL_MS} ms`);
+    const stop = () => stream?.abort(`no event in ${STALL_MS} ms`);
     this.stallTimer = setTimeout(stop, STALL_MS);
   }
 
   private expire(): void {
-    this.end('the deadline has passed');
+    this.stop('the deadline has passed');
   }
 
-  private end(detail: string): void {
-    this.isOver = true;
-    this.stream?.breakOff(detail);
+  private stop(detail: string): void {
+    this.isFinished = true;
+    this.stream?.abort(detail);
   }
 
-  private measureLeftMs(): number {
+  private measureRemainingMs(): number {
     return this.req.deadlineMs - performance.now();
   }
 
   /** Requests like this one crash endpoints: none is tried any more. */
-  private endHeld(): StreamResult {
+  private refuseQuarantined(): StreamResult {
     const error = this.guard.refuse();
-    const hasRun = this.ran > 0 || this.res.headersSent;
+    const hasRun = this.ranCount > 0 || this.res.headersSent;
     return hasRun ? this.fail() : {kind: 'failed', error};
   }
 
@@ -275,8 +283,8 @@
       outcome.kind === 'answered'
         ? `status ${outcome.answer.status}`
         : outcome.detail;
-    this.parts.metrics.count(`stream_${outcome.kind}`);
-    this.parts.logger.log('warn', 'stream attempt ended', {
+    this.deps.metrics.count(`stream_${outcome.kind}`);
+    this.deps.logger.log('warn', 'stream attempt ended', {
       requestId: this.req.attemptId,
       rule: this.req.route.name,
       configVersion: this.req.configVersion,
--- a/packages/daemon/src/gateway/store/__tests__/config_holder.spec.ts
+++ b/packages/daemon/src/gateway/store/__tests__/config_holder.spec.ts
@@ -52,15 +52,15 @@
 
 /** A log that answers as told, and says how often it was asked. */
 function createSource(isReadable: boolean, silenceMs = 0) {
-  const asked = {count: 0};
+  const calls = {count: 0};
   const source: ConfigSource = {
     catchUp: async () => {
-      asked.count += 1;
+      calls.count += 1;
       return isReadable;
     },
     measureSilenceMs: () => silenceMs,
   };
-  return {source, asked};
+  return {source, calls: calls};
 }
 
 test('guards against a refusal for good by a VM that has not read the version with the key', async t => {
@@ -86,10 +86,10 @@
 test('guards against a key that is served on for longer than the operator allows', async t => {
   const holder = new ConfigHolder(silentLogger, 5000);
   holder.offer(createConfig(1, 'known'));
-  const {source, asked} = createSource(false, 5001);
+  const {source, calls} = createSource(false, 5001);
   holder.attach(source);
   t.is((await holder.admit('known', false)).kind, 'uncertain');
-  t.is(asked.count, 1);
+  t.is(calls.count, 1);
   holder.attach(createSource(true, 5001).source);
   t.is((await holder.admit('known', false)).kind, 'admitted');
 });
@@ -97,12 +97,12 @@
 test('a key that is known is admitted without a question to the log', async t => {
   const holder = new ConfigHolder(silentLogger);
   holder.offer(createConfig(1, 'known'));
-  const {source, asked} = createSource(true);
+  const {source, calls} = createSource(true);
   holder.attach(source);
   t.is((await holder.admit('known', false)).kind, 'admitted');
-  t.is(asked.count, 0);
+  t.is(calls.count, 0);
   t.is((await holder.admit('wrong', false)).kind, 'refused');
-  t.is(asked.count, 1);
+  t.is(calls.count, 1);
 });
 
 test('nothing is admitted or refused before a configuration is known', async t => {
--- a/packages/daemon/src/gateway/store/__tests__/keyed_feed.spec.ts
+++ b/packages/daemon/src/gateway/store/__tests__/keyed_feed.spec.ts
@@ -9,18 +9,18 @@
 /** A feed that tells what it hears as text. */
 function createFeed(
   store: MemoryStore,
-  tell: (text: string) => void,
+  emit: (text: string) => void,
 ): KeyedFeed {
   return new KeyedFeed(
     store,
     {topic: 'keys', waitMs: 10, gatherMs: 0},
     {
       onRecord: ({key, value, offset}) =>
-        tell(`${key}=${value ? Buffer.from(value).toString() : '-'}@${offset}`),
-      onCaughtUp: () => tell('caught up'),
+        emit(`${key}=${value ? Buffer.from(value).toString() : '-'}@${offset}`),
+      onCaughtUp: () => emit('caught up'),
       onContact: () => undefined,
       onRead: () => undefined,
-      onLost: () => tell('lost'),
+      onLost: () => emit('lost'),
     },
     silentLogger,
   );
@@ -31,13 +31,13 @@
   store: MemoryStore,
   last: string,
 ): Promise<readonly string[]> {
-  const told: string[] = [];
-  const feed = createFeed(store, text => told.push(text));
+  const events: string[] = [];
+  const feed = createFeed(store, text => events.push(text));
   const running = feed.run();
-  for (let i = 0; i < 2000 && !told.includes(last); i++) await sleep(5);
+  for (let i = 0; i < 2000 && !events.includes(last); i++) await sleep(5);
   feed.stop();
   await running;
-  return told;
+  return events;
 }
 
 function createPage(
@@ -83,23 +83,23 @@
     createPage([createKeyed('a', 39, 'old')], 40),
   );
   store.keyedReads.push({kind: 'expired', firstOffset: 60});
-  const told = await follow(store, 'lost');
-  t.false(told.includes('a=old@39'));
-  t.true(told.includes('lost'));
+  const events = await follow(store, 'lost');
+  t.false(events.includes('a=old@39'));
+  t.true(events.includes('lost'));
 });
 
 test('guards against a removal that is undone by a slower read of what came before it', async t => {
   const store = new MemoryStore();
   const feed = createFeed(store, () => undefined);
-  const told: string[] = [];
-  const slow = createFeed(store, text => told.push(text));
+  const events: string[] = [];
+  const slow = createFeed(store, text => events.push(text));
   store.keyedReads.push(
     createPage([createKeyed('a', 0, 'x'), createKeyed('a', 1)], 2),
   );
   t.true(await slow.catchUp());
   store.keyedReads.push(createPage([createKeyed('a', 0, 'x')], 2));
   t.true(await slow.catchUp());
-  t.deepEqual(told, ['a=x@0', 'a=-@1']);
+  t.deepEqual(events, ['a=x@0', 'a=-@1']);
   store.keyedReads.push({
     kind: 'failed',
     error: createError('log_unavailable'),
--- a/packages/daemon/src/gateway/store/__tests__/roster_log.spec.ts
+++ b/packages/daemon/src/gateway/store/__tests__/roster_change_logger.spec.ts
@@ -1,19 +1,19 @@
 import test from 'ava';
 import type {EventLogger} from '../../../logger.js';
 import {createEntry} from '../../__tests__/gateway_fixtures.js';
-import {RosterLog} from '../roster_log.js';
+import {RosterChangeLogger} from '../roster_change_logger.js';
 
 function createLog() {
   const lines: Array<readonly [string, unknown]> = [];
   const logger: EventLogger = {
     log: (_level, event, fields) => lines.push([event, fields]),
   };
-  const log = new RosterLog(logger);
+  const log = new RosterChangeLogger(logger);
   return {
     lines,
     log,
     note(change: 'joined' | 'left' | 'updated', index: number): void {
-      log.note(change, {...createEntry(80), id: `e${index}`}, index);
+      log.record(change, {...createEntry(80), id: `e${index}`}, index);
     },
   };
 }
--- a/packages/daemon/src/gateway/store/config_holder.ts
+++ b/packages/daemon/src/gateway/store/config_holder.ts
@@ -14,7 +14,7 @@
 import type {EventLogger} from '../../logger.js';
 
 /** A caller waits no longer for the log to say whether its key or rule is new, ms; it is then told to come back. */
-const CONFIRM_MS = 200;
+const CATCH_UP_TIMEOUT_MS = 200;
 
 /** How a holder learns whether it has missed a version. */
 export interface ConfigSource {
@@ -56,15 +56,19 @@
    */
   async admit(key: string | undefined, isPublic: boolean): Promise<Admission> {
     if (!this.current) return {kind: 'uncertain'};
-    const first = this.decide({key, isPublic, freshness: this.measureAge()});
+    const first = this.decide({
+      key,
+      isPublic,
+      freshness: this.assessKnowledge(),
+    });
     if (first.kind !== 'uncertain') return first;
-    const knowledge = await this.confirm();
+    const knowledge = await this.catchUp();
     return this.decide({key, isPublic, freshness: knowledge});
   }
 
   /** Whether what is not in `table` is nowhere: asks the log. */
   async isComplete(): Promise<boolean> {
-    return (await this.confirm()) === 'current';
+    return (await this.catchUp()) === 'current';
   }
 
   /** In whose name work goes on that was accepted for the account, if for any. */
@@ -77,16 +81,16 @@
     return this.current?.accounts.admit(query) ?? {kind: 'uncertain'};
   }
 
-  private async confirm(): Promise<ConfigFreshness> {
+  private async catchUp(): Promise<ConfigFreshness> {
     if (!this.source) return 'current';
     const isRead = await Promise.race([
       this.source.catchUp(),
-      sleep(CONFIRM_MS, false),
+      sleep(CATCH_UP_TIMEOUT_MS, false),
     ]);
-    return isRead ? 'current' : this.measureAge();
+    return isRead ? 'current' : this.assessKnowledge();
   }
 
-  private measureAge(): ConfigFreshness {
+  private assessKnowledge(): ConfigFreshness {
     const silentMs = this.source?.measureSilenceMs() ?? 0;
     return silentMs > this.maxKeyAgeMs ? 'expired' : 'behind';
   }
--- a/packages/daemon/src/gateway/store/keyed_feed.ts
+++ b/packages/daemon/src/gateway/store/keyed_feed.ts
@@ -36,14 +36,14 @@
 type FeedStep = 'news' | 'quiet' | 'expired' | 'failed';
 
 export class KeyedFeed {
-  private next = 0;
-  private readonly known = new Map<string, number>();
+  private nextOffset = 0;
+  private readonly latestOffsets = new Map<string, number>();
   private readonly abort = new AbortController();
-  private isLost = false;
-  private contactMs = -Infinity;
+  private isFailing = false;
+  private lastContactMs = -Infinity;
   /** Steady ms of the last read to catch up. */
-  private askedMs = -Infinity;
-  private catchingUp: Promise<boolean> | undefined;
+  private lastCatchUpMs = -Infinity;
+  private pendingCatchUp: Promise<boolean> | undefined;
 
   constructor(
     private readonly store: LogStore,
@@ -58,8 +58,8 @@
     let retryMs = FIRST_RETRY_MS;
     while (!this.abort.signal.aborted) {
       const outcome: FeedStep = needsSnapshot
-        ? await this.takeSnapshot()
-        : await this.readOn();
+        ? await this.readSnapshot()
+        : await this.readNext();
       if (outcome === 'failed') {
         await this.pause(retryMs);
         retryMs = Math.min(retryMs * 2, MAX_RETRY_MS);
@@ -77,124 +77,127 @@
 
   /** Reads what there is now beside the feed's own reads; says whether that succeeded. Calls that come meanwhile share one read. */
   catchUp(): Promise<boolean> {
-    this.catchingUp ??= this.readSoon().finally(
-      () => (this.catchingUp = undefined),
+    this.pendingCatchUp ??= this.readThrottled().finally(
+      () => (this.pendingCatchUp = undefined),
     );
-    return this.catchingUp;
+    return this.pendingCatchUp;
   }
 
-  private async readSoon(): Promise<boolean> {
-    const waitMs = this.askedMs + CATCH_UP_PAUSE_MS - performance.now();
+  private async readThrottled(): Promise<boolean> {
+    const waitMs = this.lastCatchUpMs + CATCH_UP_PAUSE_MS - performance.now();
     if (waitMs > 0) await this.pause(waitMs);
-    this.askedMs = performance.now();
+    this.lastCatchUpMs = performance.now();
     return this.readToEnd();
   }
 
   /** Steady ms since the log last answered. */
   measureSilenceMs(): number {
-    return performance.now() - this.contactMs;
+    return performance.now() - this.lastContactMs;
   }
 
   private async readToEnd(): Promise<boolean> {
     const {signal} = this.abort;
     for (;;) {
       const {topic} = this.cfg;
-      const outcome = await this.store.readKeyed(topic, this.next, {
+      const outcome = await this.store.readKeyed(topic, this.nextOffset, {
         waitMs: 0,
         signal,
       });
       // The feed itself starts anew where history is gone.
       if (outcome.kind !== 'page') return false;
-      this.takeNew(outcome.records);
-      this.noteSuccess();
+      this.applyNew(outcome.records);
+      this.onSuccess();
       this.events.onRead();
-      if (outcome.records.length === 0 || this.next >= outcome.endOffset) {
+      if (
+        outcome.records.length === 0 ||
+        this.nextOffset >= outcome.endOffset
+      ) {
         return true;
       }
     }
   }
 
-  private async takeSnapshot(): Promise<FeedStep> {
+  private async readSnapshot(): Promise<FeedStep> {
     const outcome = await this.store.readNewest(this.cfg.topic);
     if (outcome.kind !== 'page') {
-      this.noteFailure(
+      this.onFailure(
         outcome.kind === 'failed' ? outcome.error.detail : 'expired',
       );
       return 'failed';
     }
     // A read that lags behind would bring back what has been left behind.
-    if (outcome.endOffset < this.next) {
-      this.noteFailure('the newest records are older than what was read');
+    if (outcome.endOffset < this.nextOffset) {
+      this.onFailure('the newest records are older than what was read');
       return 'failed';
     }
     const present = new Set(outcome.records.map(({key}) => key));
-    for (const record of outcome.records) this.take(record);
-    for (const key of [...this.known.keys()]) {
+    for (const record of outcome.records) this.apply(record);
+    for (const key of [...this.latestOffsets.keys()]) {
       if (present.has(key)) continue;
-      this.take({key, value: undefined, offset: outcome.endOffset - 1});
+      this.apply({key, value: undefined, offset: outcome.endOffset - 1});
     }
-    this.next = outcome.endOffset;
-    this.noteSuccess();
+    this.nextOffset = outcome.endOffset;
+    this.onSuccess();
     this.events.onRead();
     this.events.onCaughtUp();
     return 'news';
   }
 
-  private async readOn(): Promise<FeedStep> {
+  private async readNext(): Promise<FeedStep> {
     const {topic, waitMs} = this.cfg;
     const {signal} = this.abort;
-    const outcome = await this.store.readKeyed(topic, this.next, {
+    const outcome = await this.store.readKeyed(topic, this.nextOffset, {
       waitMs,
       signal,
     });
     if (outcome.kind === 'failed') {
-      this.noteFailure(outcome.error.detail);
+      this.onFailure(outcome.error.detail);
       return 'failed';
     }
-    this.noteSuccess();
+    this.onSuccess();
     if (outcome.kind === 'expired') {
       this.logger.log('warn', 'history of a topic is gone, reading anew', {
         topic,
-        from: this.next,
+        from: this.nextOffset,
         first: outcome.firstOffset,
       });
       return 'expired';
     }
-    this.takeNew(outcome.records);
+    this.applyNew(outcome.records);
     this.events.onRead();
     return outcome.records.length > 0 ? 'news' : 'quiet';
   }
 
   /** Takes what another read did not bring meanwhile: of two reads at once the later may end first. */
-  private takeNew(records: readonly KeyedRecord[]): void {
+  private applyNew(records: readonly KeyedRecord[]): void {
     for (const record of records) {
-      if (record.offset >= this.next) this.take(record);
+      if (record.offset >= this.nextOffset) this.apply(record);
     }
   }
 
-  private take(record: KeyedRecord): void {
-    this.next = Math.max(this.next, record.offset + 1);
-    const known = this.known.get(record.key) ?? -1;
-    if (record.offset < known) return;
-    if (record.offset === known && record.value !== undefined) return;
-    if (record.value === undefined) this.known.delete(record.key);
-    else this.known.set(record.key, record.offset);
+  private apply(record: KeyedRecord): void {
+    this.nextOffset = Math.max(this.nextOffset, record.offset + 1);
+    const latestOffset = this.latestOffsets.get(record.key) ?? -1;
+    if (record.offset < latestOffset) return;
+    if (record.offset === latestOffset && record.value !== undefined) return;
+    if (record.value === undefined) this.latestOffsets.delete(record.key);
+    else this.latestOffsets.set(record.key, record.offset);
     this.events.onRecord(record);
   }
 
-  private noteSuccess(): void {
-    this.contactMs = performance.now();
-    if (this.isLost) {
-      this.isLost = false;
+  private onSuccess(): void {
+    this.lastContactMs = performance.now();
+    if (this.isFailing) {
+      this.isFailing = false;
       this.logger.log('info', 'topic is read again', {topic: this.cfg.topic});
     }
     this.events.onContact();
   }
 
-  private noteFailure(detail: string): void {
+  private onFailure(detail: string): void {
     if (this.abort.signal.aborted) return;
-    if (!this.isLost) {
-      this.isLost = true;
+    if (!this.isFailing) {
+      this.isFailing = true;
       this.logger.log('warn', 'topic can not be read', {
         topic: this.cfg.topic,
         detail,
--- a/packages/daemon/src/gateway/store/log_store.ts
+++ b/packages/daemon/src/gateway/store/log_store.ts
@@ -60,7 +60,7 @@
 /** Options of one append. */
 export interface AppendOptions {
   /** The append fails unless the partition ends at this offset. */
-  readonly at?: number;
+  readonly expectedEndOffset?: number;
   /** Without an answer for this long its outcome is unknown, ms. */
   readonly timeoutMs?: number;
 }
--- a/packages/daemon/src/gateway/store/log_tail.ts
+++ b/packages/daemon/src/gateway/store/log_tail.ts
@@ -4,7 +4,7 @@
 import type {LogStore, StoredRecord} from './log_store.js';
 
 export class LogTail {
-  private next = 0;
+  private position = 0;
 
   constructor(
     private readonly store: LogStore,
@@ -15,11 +15,11 @@
 
   /** Offset of the record that is read next. */
   get nextOffset(): number {
-    return this.next;
+    return this.position;
   }
 
   /** A record that can not be read would otherwise stop each VM that reads it. */
-  private take(
+  private handleRecord(
     record: StoredRecord,
     onRecord: (record: StoredRecord) => void,
   ): void {
@@ -38,21 +38,21 @@
   async read(onRecord: (record: StoredRecord) => void): Promise<boolean> {
     for (;;) {
       const {store, topic, partition} = this;
-      const outcome = await store.read(topic, partition, this.next, {
+      const outcome = await store.read(topic, partition, this.position, {
         waitMs: 0,
       });
       switch (outcome.kind) {
         case 'failed':
           return false;
         case 'expired':
-          this.next = outcome.firstOffset;
+          this.position = outcome.firstOffset;
           continue;
         case 'page':
           for (const record of outcome.records) {
-            this.next = record.offset + 1;
-            this.take(record, onRecord);
+            this.position = record.offset + 1;
+            this.handleRecord(record, onRecord);
           }
-          if (this.next >= outcome.endOffset) return true;
+          if (this.position >= outcome.endOffset) return true;
           if (outcome.records.length === 0) return false;
       }
     }
--- a/packages/daemon/src/gateway/store/metered_store.ts
+++ b/packages/daemon/src/gateway/store/metered_store.ts
@@ -57,7 +57,7 @@
     options: ReadOptions,
   ): Promise<ReadOutcome> {
     return this.measure(
-      nameRead('read', options),
+      labelRead('read', options),
       this.store.read(topic, partition, from, options),
     );
   }
@@ -68,7 +68,7 @@
     options: ReadOptions,
   ): Promise<KeyedReadOutcome> {
     return this.measure(
-      nameRead('read_keyed', options),
+      labelRead('read_keyed', options),
       this.store.readKeyed(topic, from, options),
     );
   }
@@ -98,6 +98,6 @@
 }
 
 /** A read that waits for records takes as long as none come; its time says nothing of the log. */
-function nameRead(call: string, {waitMs}: ReadOptions): string {
+function labelRead(call: string, {waitMs}: ReadOptions): string {
   return waitMs > 0 ? `${call}_waiting` : call;
 }
--- a/packages/daemon/src/gateway/usage/__tests__/usage_fixtures.ts
+++ b/packages/daemon/src/gateway/usage/__tests__/usage_fixtures.ts
@@ -24,7 +24,7 @@
 /** The platform's API; its next answers can be told, then it accepts all. */
 export class FakeControlApi extends ControlApi {
   readonly calls: UsageCall[] = [];
-  readonly plan: ControlAnswer[] = [];
+  readonly plannedAnswers: ControlAnswer[] = [];
   /** One line for each window that was told with different counts. */
   readonly problems: string[] = [];
   private readonly accepted = new Map<number, string>();
@@ -34,9 +34,9 @@
     holder: CallCredentials,
   ): Promise<ControlAnswer> {
     this.calls.push({report, holder});
-    const answer = this.plan.shift() ?? 'accepted';
+    const answer = this.plannedAnswers.shift() ?? 'accepted';
     // What got no answer may have been taken.
-    if (answer === 'accepted' || answer === 'unknown') this.take(report);
+    if (answer === 'accepted' || answer === 'unknown') this.accept(report);
     return answer;
   }
 
@@ -46,7 +46,7 @@
 
   close(): void {}
 
-  private take({window, counts}: UsageReport): void {
+  private accept({window, counts}: UsageReport): void {
     const text = JSON.stringify(Object.entries(counts).sort());
     const known = this.accepted.get(window) ?? text;
     if (known !== text) this.problems.push(`${window}: ${known}, then ${text}`);
@@ -59,7 +59,7 @@
   nowMs: number;
 }
 
-export interface HolderTerms {
+export interface HolderOptions {
   readonly vmName?: string;
   readonly fencingToken?: number;
   readonly mayCall?: () => boolean;
@@ -70,7 +70,7 @@
   store: LogStore,
   api: ControlApi,
   time: FakeTime,
-  {vmName = 'vm-a', fencingToken = 1, mayCall = () => true}: HolderTerms = {},
+  {vmName = 'vm-a', fencingToken = 1, mayCall = () => true}: HolderOptions = {},
 ): UsageTask {
   return new UsageTask({
     store,
--- a/packages/daemon/src/gateway/usage/__tests__/usage_meter.spec.ts
+++ b/packages/daemon/src/gateway/usage/__tests__/usage_meter.spec.ts
@@ -9,7 +9,11 @@
 const ALPHA = {kind: 'account', name: 'alpha'} as const;
 
 function createMeter(store: MemoryStore): UsageMeter {
-  return new UsageMeter(store, {vmName: 'vm', incarnationId: 'life'}, WINDOW_MS);
+  return new UsageMeter(
+    store,
+    {vmName: 'vm', incarnationId: 'life'},
+    WINDOW_MS,
+  );
 }
 
 function sum(store: MemoryStore, window: number): number {
@@ -23,10 +27,10 @@
 test('the first request is written at once, and those right after it together', async t => {
   const store = new MemoryStore();
   const meter = createMeter(store);
-  meter.note(ALPHA, 10_000);
+  meter.record(ALPHA, 10_000);
   await sleep(5);
   t.is(sum(store, 2), 1);
-  for (let i = 0; i < 20; i++) meter.note(ALPHA, 10_001);
+  for (let i = 0; i < 20; i++) meter.record(ALPHA, 10_001);
   await meter.finish();
   t.is(sum(store, 2), 21);
   t.true(store.list(COUNT_TOPIC).length <= 3);
@@ -36,7 +40,7 @@
   const store = new MemoryStore();
   store.appendPlans.push('unknown_but_done', 'unknown', 'refused');
   const meter = createMeter(store);
-  meter.note(ALPHA, 10_000);
+  meter.record(ALPHA, 10_000);
   await meter.finish();
   t.is(sum(store, 2), 1);
 });
@@ -44,10 +48,10 @@
 test('guards against counts that die with a VM that is asked to stop', async t => {
   const store = new MemoryStore();
   const meter = createMeter(store);
-  meter.note(ALPHA, 10_000);
-  meter.note(ALPHA, 10_000);
+  meter.record(ALPHA, 10_000);
+  meter.record(ALPHA, 10_000);
   await sleep(5);
-  meter.note(ALPHA, 15_000);
+  meter.record(ALPHA, 15_000);
   await meter.finish();
   t.is(sum(store, 2), 2);
   t.is(sum(store, 3), 1);
@@ -56,8 +60,8 @@
 test('callers without an account are not counted', async t => {
   const store = new MemoryStore();
   const meter = createMeter(store);
-  meter.note({kind: 'unchecked'}, 10_000);
-  meter.note({kind: 'anonymous'}, 10_000);
+  meter.record({kind: 'unchecked'}, 10_000);
+  meter.record({kind: 'anonymous'}, 10_000);
   await meter.finish();
   t.is(store.appends, 0);
 });
--- a/packages/daemon/src/gateway/usage/__tests__/usage_task.spec.ts
+++ b/packages/daemon/src/gateway/usage/__tests__/usage_task.spec.ts
@@ -94,7 +94,7 @@
 test('guards against a report that differs when it is sent again by a successor', async t => {
   const {store, api, time, task} = await startService();
   await writeCount(store, 'a', 0, 10, 2);
-  api.plan.push('unknown');
+  api.plannedAnswers.push('unknown');
   time.nowMs = settledMs(10);
   await task.tick();
   task.stop();
@@ -148,7 +148,7 @@
 test('guards against a second call with a token that the platform refused', async t => {
   const {api, store, time, task} = await startService();
   time.nowMs = settledMs(10);
-  api.plan.push('fenced');
+  api.plannedAnswers.push('fenced');
   await task.tick();
   time.nowMs += 5000;
   await task.tick();
@@ -178,7 +178,7 @@
 
 test('windows that the platform was away for are made up in order', async t => {
   const {api, time, task} = await startService();
-  api.plan.push('busy', 'unknown', 'busy');
+  api.plannedAnswers.push('busy', 'unknown', 'busy');
   for (let i = 0; i < 40; i++) {
     time.nowMs = settledMs(10) + i * 500;
     await task.tick();
@@ -253,10 +253,10 @@
             break;
           }
           case 'call_lost':
-            api.plan.push('unknown');
+            api.plannedAnswers.push('unknown');
             break;
           case 'call_busy':
-            api.plan.push('busy');
+            api.plannedAnswers.push('busy');
             break;
           case 'append_lost':
             store.appendPlans.push('unknown');
--- a/packages/daemon/src/gateway/usage/usage_meter.ts
+++ b/packages/daemon/src/gateway/usage/usage_meter.ts
@@ -18,7 +18,7 @@
 }
 
 /** Least time between two writes, ms: a VM with few requests writes each at once, one with many gathers them. */
-const GATHER_MS = 500;
+const MIN_WRITE_INTERVAL_MS = 500;
 /** Pause after a failed write, ms; doubles up to the next. */
 const FIRST_RETRY_MS = 100;
 const MAX_RETRY_MS = 800;
@@ -37,12 +37,12 @@
     windowMs: number,
   ) {
     this.tally = new UsageTally(windowMs);
-    const draw = hashToUnitInterval(cfg.vmName);
-    this.partition = Math.floor(draw * store.partitions);
+    const fraction = hashToUnitInterval(cfg.vmName);
+    this.partition = Math.floor(fraction * store.partitions);
   }
 
   /** An endpoint began a request of the caller at `unixMs`. */
-  note(caller: Caller, unixMs: number): void {
+  record(caller: Caller, unixMs: number): void {
     if (caller.kind !== 'account') return;
     this.tally.record(caller.name, unixMs);
     this.writing ??= this.writeAll().finally(() => (this.writing = undefined));
@@ -60,7 +60,8 @@
 
   private async writeAll(): Promise<void> {
     while (!this.tally.isEmpty && !this.isStopped) {
-      const waitMs = this.lastWriteMs + GATHER_MS - performance.now();
+      const waitMs =
+        this.lastWriteMs + MIN_WRITE_INTERVAL_MS - performance.now();
       if (waitMs > 0) await sleep(waitMs);
       this.lastWriteMs = performance.now();
       const {incarnationId: writer} = this.cfg;
--- a/packages/daemon/src/gateway/usage/usage_task.ts
+++ b/packages/daemon/src/gateway/usage/usage_task.ts
@@ -43,7 +43,7 @@
   readonly dueMs: number;
 }
 
-export interface UsageTaskParts {
+export interface UsageTaskDeps {
   readonly store: LogStore;
   readonly api: ControlApi;
   readonly lease: CallLease;
@@ -56,7 +56,7 @@
 }
 
 /** All windows are one subject: their reports come from one holder at a time. */
-const SUBJECT = 'usage reports';
+const LEASE_SUBJECT = 'usage reports';
 /** How often the task looks whether something is due, ms. */
 const TICK_MS = 200;
 /** A window is decided once this share of the time until its report is due has passed: writes that failed at first are there by then, and a log that is away for seconds right after it still leaves time. */
@@ -70,26 +70,31 @@
 
 export class UsageTask {
   private readonly ledger = new UsageLedger();
-  private readonly book = new ReportTracker();
-  private readonly reports: LogTail;
-  private readonly counts: readonly LogTail[];
+  private readonly decisions = new ReportTracker();
+  private readonly reportTail: LogTail;
+  private readonly countTails: readonly LogTail[];
   /** First offset of each partition of counts that a window that is still open needs. */
-  private readonly needed: number[];
-  private isBusy = false;
+  private readonly firstNeeded: number[];
+  private isTicking = false;
   private isStopped = false;
   private retryAtMs = -Infinity;
   /** A token that the platform refused is not used again. */
   private refusedToken = -1;
   private timer: NodeJS.Timeout | undefined;
 
-  constructor(private readonly parts: UsageTaskParts) {
-    const {store, logger} = parts;
-    this.reports = new LogTail(store, REPORT_TOPIC, REPORT_PARTITION, logger);
-    this.counts = Array.from(
+  constructor(private readonly deps: UsageTaskDeps) {
+    const {store, logger} = deps;
+    this.reportTail = new LogTail(
+      store,
+      REPORT_TOPIC,
+      REPORT_PARTITION,
+      logger,
+    );
+    this.countTails = Array.from(
       {length: store.partitions},
       (_, partition) => new LogTail(store, COUNT_TOPIC, partition, logger),
     );
-    this.needed = this.counts.map(() => 0);
+    this.firstNeeded = this.countTails.map(() => 0);
   }
 
   start(): void {
@@ -103,22 +108,22 @@
 
   /** Does what is due now; resolves when it is done or must wait. */
   async tick(): Promise<void> {
-    if (this.isBusy || this.isStopped) return;
-    this.isBusy = true;
+    if (this.isTicking || this.isStopped) return;
+    this.isTicking = true;
     try {
       await this.decideAll();
       await this.deliverAll();
     } finally {
-      this.isBusy = false;
+      this.isTicking = false;
     }
   }
 
   private async decideAll(): Promise<void> {
-    const {windowMs, dueMs} = this.parts.terms;
+    const {windowMs, dueMs} = this.deps.terms;
     const settleMs = dueMs * SETTLE_SHARE;
     while (!this.isStopped) {
-      const nowMs = this.parts.now();
-      const window = await this.findNext(nowMs);
+      const nowMs = this.deps.now();
+      const window = await this.findNextWindow(nowMs);
       if (window === undefined) return;
       const endMs = (window + 1) * windowMs;
       if (nowMs < endMs + settleMs) return;
@@ -127,20 +132,20 @@
   }
 
   /** The next window to decide; undefined where the log does not tell. */
-  private async findNext(nowMs: number): Promise<number | undefined> {
-    const {windowMs} = this.parts.terms;
+  private async findNextWindow(nowMs: number): Promise<number | undefined> {
+    const {windowMs} = this.deps.terms;
     const current = findWindow(nowMs, windowMs);
     const maxBehind = Math.floor(MAX_BEHIND_MS / windowMs);
-    const known = this.book.findNext(current, maxBehind);
-    if (known !== undefined) return known;
+    const cached = this.decisions.findNext(current, maxBehind);
+    if (cached !== undefined) return cached;
     if (!(await this.readReports())) return undefined;
-    const read = this.book.findNext(current, maxBehind);
-    if (read === undefined) await this.begin(current);
-    return read;
+    const refreshed = this.decisions.findNext(current, maxBehind);
+    if (refreshed === undefined) await this.startReporting(current);
+    return refreshed;
   }
 
   /** Callers are served before the first holder is there: reports begin with the first window in which something was counted. */
-  private async begin(current: number): Promise<void> {
+  private async startReporting(current: number): Promise<void> {
     if (!(await this.readCounts())) return;
     const window = Math.min(this.ledger.firstWindow ?? current, current);
     await this.append({kind: 'begun', window});
@@ -151,35 +156,35 @@
     const report = {window, counts: this.ledger.sum(window)};
     if (!(await this.append({kind: 'decided', ...report}))) return false;
     this.ledger.close(window + 1);
-    this.parts.logger.log('info', 'usage decided', {
+    this.deps.logger.log('info', 'usage decided', {
       window,
       accounts: Object.keys(report.counts).length,
       requests: countRequests(report),
-      fencingToken: this.parts.lease.fencingToken,
+      fencingToken: this.deps.lease.fencingToken,
     });
-    this.forgetReports(window);
+    this.dropOldReports(window);
     if (window % TRIM_EVERY === 0) this.trimCounts();
     return true;
   }
 
   /** Appends and reads back; whoever has not read all that stands can not add to it. */
   private async append(record: ReportRecord): Promise<boolean> {
-    const outcome = await this.parts.store.append(
+    const outcome = await this.deps.store.append(
       REPORT_TOPIC,
       REPORT_PARTITION,
       [encodeUsage(record)],
-      {at: this.reports.nextOffset},
+      {expectedEndOffset: this.reportTail.nextOffset},
     );
     const isRead = await this.readReports();
     return isRead && outcome.kind === 'appended';
   }
 
   private async deliverAll(): Promise<void> {
-    const {lease, now} = this.parts;
-    for (const report of this.book.undelivered) {
+    const {lease, now} = this.deps;
+    for (const report of this.decisions.undelivered) {
       if (this.isStopped || now() < this.retryAtMs) return;
       if (lease.fencingToken <= this.refusedToken) return;
-      if (!(await lease.announce(SUBJECT)) || this.isStopped) return;
+      if (!(await lease.announce(LEASE_SUBJECT)) || this.isStopped) return;
       const answer = await this.deliver(report);
       if (answer !== 'accepted') this.retryAtMs = now() + RETRY_MS;
       if (answer === 'fenced') this.refusedToken = lease.fencingToken;
@@ -187,7 +192,7 @@
   }
 
   private async deliver(report: UsageReport): Promise<ControlAnswer> {
-    const {api, lease, vmName, store, logger, metrics} = this.parts;
+    const {api, lease, vmName, store, logger, metrics} = this.deps;
     const {window} = report;
     const {fencingToken} = lease;
     const holder: CallCredentials = {vmName, fencingToken};
@@ -201,42 +206,42 @@
     // A report that the platform will never take is not sent again either.
     if (answer === 'accepted' || answer === 'refused') {
       const record: ReportRecord = {kind: 'delivered', window};
-      this.book.apply(record);
+      this.decisions.apply(record);
       await store.append(REPORT_TOPIC, REPORT_PARTITION, [encodeUsage(record)]);
     }
     return answer;
   }
 
   private async readReports(): Promise<boolean> {
-    return this.reports.read(({bytes}) =>
-      this.book.apply(decodeReportRecord(bytes)),
+    return this.reportTail.read(({bytes}) =>
+      this.decisions.apply(decodeReportRecord(bytes)),
     );
   }
 
   private async readCounts(): Promise<boolean> {
-    const reads = this.counts.map(tail =>
+    const reads = this.countTails.map(tail =>
       tail.read(({bytes}) => {
         const late = this.ledger.apply(decodeUsageEntry(bytes));
-        if (late > 0) this.parts.metrics.count('usage_late', late);
+        if (late > 0) this.deps.metrics.count('usage_late', late);
       }),
     );
     return (await Promise.all(reads)).every(isRead => isRead);
   }
 
-  private forgetReports(window: number): void {
-    const behind = Math.floor(MAX_BEHIND_MS / this.parts.terms.windowMs);
-    for (const lost of this.book.forget(window - behind)) {
-      this.parts.logger.log('error', 'usage report given up', {window: lost});
+  private dropOldReports(window: number): void {
+    const maxBehind = Math.floor(MAX_BEHIND_MS / this.deps.terms.windowMs);
+    for (const dropped of this.decisions.forget(window - maxBehind)) {
+      this.deps.logger.log('error', 'usage report given up', {window: dropped});
     }
   }
 
   /** Counts that were read before the last call belong to windows that are decided. */
   private trimCounts(): void {
-    this.counts.forEach((tail, partition) => {
-      const before = this.needed[partition];
-      this.needed[partition] = tail.nextOffset;
+    this.countTails.forEach((tail, partition) => {
+      const before = this.firstNeeded[partition];
+      this.firstNeeded[partition] = tail.nextOffset;
       if (before === 0) return;
-      void this.parts.store.trim(COUNT_TOPIC, partition, before);
+      void this.deps.store.trim(COUNT_TOPIC, partition, before);
     });
   }
 }
