--- a/packages/daemon/src/gateway/crashes/__tests__/crash_replicator.spec.ts
+++ b/packages/daemon/src/gateway/crashes/__tests__/crash_replicator.spec.ts
@@ -24,14 +24,14 @@
     silentLogger,
   );
   t.teardown(() => replicator.stop());
-  return {book, replicator: replicator, store, updated: updated};
+  return {book, replicator, store, updated};
 }
 
 async function waitUntil(isDone: () => boolean): Promise<void> {
   for (let i = 0; i < 400 && !isDone(); i++) await sleep(10);
 }
 
-test('what is told stands in the log, and what is clear is withdrawn', async t => {
+test('marks are written to the log and withdrawn when the request is cleared', async t => {
   const {book, replicator, store} = createReplicator(t);
   book.merge('f', [MARK], Date.now());
   replicator.publish('f');
@@ -45,8 +45,8 @@
   t.deepEqual(store.keyedWrites[1], {key: 'f'});
 });
 
-// Guards against news that a log which is away has not taken.
-test('what the log did not take is written again', async t => {
+// Guards against updates that are lost while the log is unavailable.
+test('a failed append is retried', async t => {
   const {book, replicator, store} = createReplicator(t);
   store.appendPlans.push('refused', 'unknown');
   book.merge('f', [MARK], Date.now());
@@ -55,8 +55,8 @@
   t.is(store.keyedWrites[0].key, 'f');
 });
 
-// Guards against VMs that know nothing after they have all been lost.
-test('a VM that starts knows what stands in the log', async t => {
+// Guards against losing all marks when all VMs restart.
+test('a VM that starts reads the marks in the log', async t => {
   const store = new MemoryStore();
   const value = Buffer.from(encodeMarks([MARK]));
   store.newestReads.push({
@@ -79,7 +79,7 @@
 });
 
 // Guards against a caller that fills the log with ever new requests.
-test('requests beyond the bound are withdrawn by who tells of more', async t => {
+test('publishing a request beyond the limit withdraws the oldest', async t => {
   const {book, replicator, store} = createReplicator(t);
   for (let i = 0; i < MAX_REQUESTS; i++) {
     book.merge(`f${i}`, [{...MARK, atMs: Date.now()}], Date.now());
--- a/packages/daemon/src/gateway/crashes/__tests__/crash_watch.spec.ts
+++ b/packages/daemon/src/gateway/crashes/__tests__/crash_watch.spec.ts
@@ -5,7 +5,7 @@
 import {GatewayMetrics} from '../../gateway_metrics.js';
 import {CrashWatch} from '../crash_watch.js';
 
-/** A watch whose endpoints are there unless they stand in `gone`. */
+/** Creates a watch whose endpoints are reachable unless listed in `gone`. */
 function createWatch() {
   const book = new CrashRegistry(0);
   const published: string[] = [];
@@ -25,16 +25,16 @@
   });
   const begin = (id: string, fingerprint: string) =>
     watch.recordStart(entries.get(id)!, () => fingerprint);
-  /** `fingerprint` runs alone at `id`, which crashes. */
+  /** Crashes endpoint `id` with only `fingerprint` in flight. */
   const crash = async (id: string, fingerprint: string) => {
     gone.add(id);
     begin(id, fingerprint).end('broken');
     await watch.waitForCheck(id);
   };
-  return {watch, book, published: published, gone, begin, crash};
+  return {watch, book, published, gone, begin, crash};
 }
 
-test('a request whose endpoints crash is held back after the third', async t => {
+test('a request is quarantined after its third crash', async t => {
   const {watch, crash} = createWatch();
   await crash('e0', 'f');
   await crash('e1', 'f');
@@ -44,16 +44,17 @@
   t.false(watch.isQuarantined(() => 'g'));
 });
 
-// Guards against links that are reset being taken for crashes.
-test('a broken connection to an endpoint that is there is no crash', async t => {
+// Guards against connection resets being treated as crashes.
+test('a broken connection to a reachable endpoint is no crash', async t => {
   const {watch, book, begin} = createWatch();
   begin('e0', 'f').end('broken');
   await watch.waitForCheck('e0');
   t.is(book.size, 0);
 });
 
-// Guards against endpoints whose address is answered for while they are away.
-test('a broken connection is a crash once the list says that its endpoint is gone', async t => {
+// Guards against crashes that the probe misses because something else accepts connections
+// at the endpoint's address.
+test('a broken connection is a crash once the list shows its endpoint gone', async t => {
   const {watch, book, begin} = createWatch();
   const entry = {...createEntry(1), id: 'e0'};
   begin('e0', 'f').end('broken');
@@ -67,7 +68,7 @@
   t.is(book.getCrashes('f').length, 1);
 });
 
-test('a broken connection beside one that goes on is no crash', async t => {
+test('a broken connection is no crash while an earlier request still runs there', async t => {
   const {watch, book, gone, begin} = createWatch();
   gone.add('e0');
   begin('e0', 'g');
@@ -76,7 +77,7 @@
   t.is(book.size, 0);
 });
 
-test('what this VM ends itself is no crash', async t => {
+test('a request that this VM ends itself is no crash', async t => {
   const {watch, book, gone, begin} = createWatch();
   gone.add('e0');
   begin('e0', 'f').end('left');
@@ -84,8 +85,8 @@
   t.is(book.size, 0);
 });
 
-// Guards against bystanders being blamed for a crash.
-test('what ends well before or after a crash is known is clear', async t => {
+// Guards against blaming other requests that were in flight on the crashed endpoint.
+test('a request that succeeds before or after the crash is confirmed is cleared', async t => {
   const {watch, book, published, gone, begin} = createWatch();
   gone.add('e0');
   begin('e0', 'f').end('broken');
@@ -96,11 +97,11 @@
   t.false(book.has('g'));
   begin('e1', 'f').end('answered');
   t.is(book.size, 0);
-  t.deepEqual(published, ['f'], 'the others are told that it is clear');
+  t.deepEqual(published, ['f'], 'the other VMs learn that it is cleared');
 });
 
-// Guards against a request that is asked all the time being held back on all VMs.
-test('a request that was answered a moment ago is cleared for all VMs', async t => {
+// Guards against quarantining a frequently repeated, harmless request on all VMs.
+test('a request that was answered recently is cleared for all VMs', async t => {
   const {watch, book, published, begin, crash} = createWatch();
   begin('e0', 'f').end('answered');
   await crash('e1', 'f');
@@ -114,7 +115,7 @@
   t.true(book.has('g'));
 });
 
-test('a crash late in a stream weighs half, and events clear a run that lives', async t => {
+test('a crash late in a stream weighs half, and a stream that got past its start clears the request', async t => {
   const {watch, book, gone, begin} = createWatch();
   for (const id of ['e0', 'e1', 'e2', 'e3', 'e4']) {
     gone.add(id);
@@ -131,20 +132,23 @@
   t.is(book.size, 0);
 });
 
-// Guards against a bystander being blamed for endpoints that others had crashed before.
-test('a suspect goes only to endpoints that are there', async t => {
+// Guards against blaming a request for endpoints that were already down.
+test('a suspected request is only sent to reachable endpoints', async t => {
   const {watch, gone, crash} = createWatch();
   const fit = (id: string) =>
     watch.maySendTo({...createEntry(Number(id[1]) + 1), id}, () => 'f');
   gone.add('e1');
-  t.true(await fit('e1'), 'nothing speaks against it: it is just sent');
+  t.true(
+    await fit('e1'),
+    'a request that is not suspected is sent without a probe',
+  );
   await crash('e0', 'f');
   t.false(await fit('e1'));
   t.true(await fit('e2'));
 });
 
-// Guards against a write to the log for each bystander of a crash.
-test('others are told at once from the second crash on', async t => {
+// Guards against a write to the log for every request in flight on a crashed endpoint.
+test('marks are published at once from the second crash on', async t => {
   const {published, crash} = createWatch();
   await crash('e0', 'f');
   t.deepEqual(published, []);
@@ -152,8 +156,8 @@
   t.deepEqual(published, ['f']);
 });
 
-// Guards against tries without end where a crash is known only from the list of endpoints.
-test('a try that ends with a broken connection is held against its request at once', t => {
+// Guards against endless probes if crashes show only in the list of endpoints.
+test('a probe that ends with a broken connection counts as a crash at once', t => {
   const {watch, book, begin} = createWatch();
   const longAgoMs = Date.now() - 60_000;
   for (let i = 0; i < 3; i++) {
@@ -165,7 +169,7 @@
   t.true(watch.measureQuarantineMs('f') > 9000);
 });
 
-test('while a held request is tried once more no other one like it goes out', async t => {
+test('during a probe of a quarantined request no other request like it is sent', async t => {
   const {watch, book, begin} = createWatch();
   const longAgoMs = Date.now() - 60_000;
   for (let i = 0; i < 3; i++) {
--- a/packages/daemon/src/gateway/crashes/__tests__/endpoint_probe.spec.ts
+++ b/packages/daemon/src/gateway/crashes/__tests__/endpoint_probe.spec.ts
@@ -3,7 +3,7 @@
 import {startRawServer} from '../../__tests__/gateway_fixtures.js';
 import {probeEndpoint} from '../endpoint_probe.js';
 
-test('an endpoint that keeps a connection open is there', async t => {
+test('an endpoint that keeps a connection open is reachable', async t => {
   const server = await startRawServer('', 'keep');
   t.teardown(() => server.close());
   t.true(await probeEndpoint(server.entry));
@@ -15,7 +15,7 @@
   t.false(await probeEndpoint(server.entry));
 });
 
-// Guards against a proxy before a dead endpoint being taken for the endpoint.
+// Guards against a proxy in front of a dead endpoint being treated as the endpoint.
 test('an endpoint whose connections close at once is gone', async t => {
   const server = net.createServer(socket => socket.destroy());
   await new Promise<void>(resolve =>
--- a/packages/daemon/src/gateway/crashes/crash_codec.ts
+++ b/packages/daemon/src/gateway/crashes/crash_codec.ts
@@ -1,4 +1,4 @@
-/** Bytes of what VMs tell each other of a request beside which endpoints crashed. */
+/** Encoding of the crash marks that VMs share about requests in flight on endpoints that crashed. */
 
 import type {CrashRecord} from '@radishyoke/core/crashes/crash_registry';
 import {fail, type Result, succeed} from '@radishyoke/shared/result';
@@ -14,7 +14,7 @@
   }),
 );
 
-/** Plain maps, so that records of one version of the program can be read by another. */
+/** Packs plain maps, so that other versions of the program can read the records. */
 const packr = new Packr({useRecords: false});
 
 export function encodeMarks(marks: readonly CrashRecord[]): Uint8Array {
--- a/packages/daemon/src/gateway/crashes/crash_detector.ts
+++ b/packages/daemon/src/gateway/crashes/crash_detector.ts
@@ -1,7 +1,7 @@
 /**
- * Tells crashes of endpoints from connections that only broke: links are reset
- * and answers get lost, but a crashed endpoint is gone right after, or its entry
- * in the list vanishes or names a new life.
+ * Distinguishes endpoint crashes from connections that merely broke. After a crash the
+ * endpoint is unreachable, or its entry soon leaves the list of endpoints or names a new
+ * incarnation.
  */
 
 import type {EndpointEntry} from '@radishyoke/core/fleet/endpoint_entry';
@@ -13,11 +13,11 @@
 export type InterruptedRequests = ReadonlyMap<string, InFlightRequest>;
 
 export interface CrashDetectorDeps {
-  /** Whether an endpoint is there. */
+  /** Whether an endpoint is reachable. */
   readonly probe: (target: ProbeTarget) => Promise<boolean>;
-  /** Whether a request that came to the endpoint before `beforeMs` (steady) goes on there. */
+  /** Whether a request that was sent to the endpoint before `beforeMs` (steady) is still running there. */
   readonly hasSurvivor: (endpointId: string, beforeMs: number) => boolean;
-  /** An endpoint has crashed, at `atMs` (Unix), and had these requests. */
+  /** Called when an endpoint crashed at `atMs` (Unix) with these requests in flight. */
   readonly onCrash: (
     entry: EndpointEntry,
     interrupted: InterruptedRequests,
@@ -25,13 +25,13 @@
   ) => void;
 }
 
-/** Whether one endpoint has crashed, while that is being found out. */
+/** A check in progress of whether an endpoint crashed. */
 interface CrashCheck {
   readonly interrupted: Map<string, InFlightRequest>;
   readonly finished: Promise<void>;
 }
 
-/** A connection that broke, at an endpoint that seemed to be there. */
+/** A connection that broke although its endpoint was reachable afterwards. */
 interface UnexplainedBreak {
   readonly fingerprint: string;
   readonly watched: InFlightRequest;
@@ -39,17 +39,17 @@
   readonly atMs: number;
 }
 
-/** Time for all connections to a crashed endpoint to break, ms. */
+/** All connections to a crashed endpoint break within this time, ms. */
 const BREAK_WINDOW_MS = 50;
-/** The list tells of a crash this long after it at most, ms: an entry lapses, or names a new life, within seconds. */
+/** Longest time until the list of endpoints shows a crash, ms: an entry expires or names a new incarnation within seconds. */
 const MAX_LIST_DELAY_MS = 10_000;
-/** Breaks of one endpoint that may still turn out to be a crash. */
+/** Breaks tracked per endpoint that may still turn out to be a crash. */
 const MAX_UNEXPLAINED_BREAKS = 50;
 
 export class CrashDetector {
-  /** By endpoint. */
+  /** By endpoint id. */
   private readonly checks = new Map<string, CrashCheck>();
-  /** By endpoint. */
+  /** By endpoint id. */
   private readonly unexplained = new Map<string, readonly UnexplainedBreak[]>();
 
   constructor(private readonly deps: CrashDetectorDeps) {}
@@ -58,13 +58,13 @@
     return this.checks.size > 0;
   }
 
-  /** Whether it is being found out if the request was beside a crash. */
+  /** Whether a check is in progress on an endpoint where the request was in flight. */
   isCheckingRequest(fingerprint: string): boolean {
     const checks = [...this.checks.values()];
     return checks.some(({interrupted}) => interrupted.has(fingerprint));
   }
 
-  /** A connection broke: finds out whether its endpoint has crashed. */
+  /** Checks whether an endpoint crashed after the connection of `watched` broke; joins a check in progress. */
   checkEndpoint(watched: InFlightRequest): void {
     const {id} = watched.entry;
     const running = this.checks.get(id);
@@ -74,21 +74,21 @@
     }
     const interrupted = new Map([[watched.fingerprint(), watched]]);
     const finished = this.runCheck(watched.entry, interrupted);
-    this.checks.set(id, {interrupted: interrupted, finished: finished});
+    this.checks.set(id, {interrupted, finished});
   }
 
-  /** The request ended well elsewhere, so it is not asked about any more. */
+  /** Removes a request that succeeded elsewhere from all checks in progress. */
   removeRequest(fingerprint: string): void {
     for (const {interrupted} of this.checks.values())
       interrupted.delete(fingerprint);
   }
 
-  /** Resolves once it is known whether the endpoint has crashed, if that is asked. */
+  /** Resolves once the check of the endpoint ends; at once if there is none. */
   async waitForCheck(endpointId: string): Promise<void> {
     await this.checks.get(endpointId)?.finished;
   }
 
-  /** The list says that the endpoint is gone, or has a new life: what broke there lately was a crash. */
+  /** Treats recent breaks as a crash, since the list shows the endpoint gone or in a new incarnation. */
   onEndpointGone(entry: EndpointEntry): void {
     const breaks = this.unexplained.get(entry.id) ?? [];
     this.unexplained.delete(entry.id);
@@ -102,7 +102,7 @@
     this.deps.onCrash(entry, new Map(interrupted), recent[0].atMs);
   }
 
-  /** The endpoint is another one now, or gone. */
+  /** Drops the breaks of an endpoint that was replaced or removed. */
   forget(endpointId: string): void {
     this.unexplained.delete(endpointId);
   }
--- a/packages/daemon/src/gateway/crashes/crash_replicator.ts
+++ b/packages/daemon/src/gateway/crashes/crash_replicator.ts
@@ -1,7 +1,7 @@
 /**
- * Tells all VMs of requests that endpoints crashed beside, through a keyed topic
- * of the log: a record for each request, kept until it is withdrawn, so that the
- * news outlives all VMs. A VM that can not reach the log goes by what it saw.
+ * Shares crash marks between VMs through a keyed topic of the log. Each suspected request
+ * has one record, which stays until it is withdrawn, so the marks survive the loss of all
+ * VMs. A VM that can not reach the log relies on the crashes it saw itself.
  */
 
 import type {CrashRegistry} from '@radishyoke/core/crashes/crash_registry';
@@ -15,19 +15,18 @@
 } from '../store/log_store.js';
 import {decodeMarks, encodeMarks} from './crash_codec.js';
 
-/** The log may hold a read this long, ms: there are hardly any news, and a connection that has gone silent hides them for no longer. */
+/** Longest time that a read waits at the log, ms: updates are rare, and a connection that went silent hides them for no longer than this. */
 const READ_WAIT_MS = 3000;
-/** Pause after news, ms: a crash brings those of several VMs. */
+/** Pause before a read or write that follows an update, ms: one crash causes updates from several VMs. */
 const GATHER_MS = 20;
-/** Requests that one append tells of. */
 const MAX_RECORDS_PER_APPEND = 100;
-/** Pause after an append that may not stand, ms, doubling up to the next figure. */
+/** Pause after an append that may have failed, ms; doubles up to `MAX_RETRY_MS`. */
 const FIRST_RETRY_MS = 100;
 const MAX_RETRY_MS = 2000;
 
 export class CrashReplicator {
   private readonly feed: KeyedFeed;
-  /** Fingerprints whose record is to be written or withdrawn. */
+  /** Fingerprints whose record has to be written or withdrawn. */
   private readonly pending = new Set<string>();
   private isWriting = false;
   private isStopped = false;
@@ -36,7 +35,7 @@
     private readonly store: LogStore,
     private readonly topic: string,
     private readonly book: CrashRegistry,
-    /** Told of each request that the log tells of. */
+    /** Called for each request whose marks were read from the log. */
     private readonly onUpdate: (fingerprint: string) => void,
     private readonly logger: EventLogger,
   ) {
@@ -61,7 +60,7 @@
     this.feed.stop();
   }
 
-  /** What the book says of the request now is told to the other VMs. */
+  /** Publishes the current marks of the request to the other VMs, and withdraws those that the book drops. */
   publish(fingerprint: string): void {
     for (const forgotten of this.book.prune(Date.now())) {
       this.pending.add(forgotten);
@@ -85,7 +84,7 @@
     this.logger.log('warn', 'record skipped', {key, offset, detail});
   }
 
-  /** Writes until nothing is pending. */
+  /** Writes all pending records, and retries until the log takes them. */
   private async writePending(): Promise<void> {
     this.isWriting = true;
     let retryMs = FIRST_RETRY_MS;
@@ -106,7 +105,7 @@
     this.isWriting = false;
   }
 
-  /** A request that the book no longer has is withdrawn. */
+  /** Returns the request's record; one without a value withdraws it. */
   private createRecord(key: string): NewKeyedRecord {
     const marks = this.book.getCrashes(key);
     return marks.length === 0 ? {key} : {key, value: encodeMarks(marks)};
--- a/packages/daemon/src/gateway/crashes/crash_watch.ts
+++ b/packages/daemon/src/gateway/crashes/crash_watch.ts
@@ -1,6 +1,6 @@
 /**
- * Holds back requests that crash endpoints: sees which requests of this VM were
- * beside a crash, keeps the book of these, and tells the other VMs.
+ * Quarantines requests that crash endpoints: tracks which requests of this VM were in
+ * flight on an endpoint when it crashed, and publishes that to the other VMs.
  */
 
 import {
@@ -22,7 +22,7 @@
   WatchedRequest,
 } from './watched_request.js';
 
-/** What tells the other VMs. */
+/** Publishes the crash marks of a request to the other VMs. */
 export interface CrashPublisher {
   publish(fingerprint: string): void;
 }
@@ -32,19 +32,18 @@
   readonly publisher: CrashPublisher;
   readonly metrics: GatewayMetrics;
   readonly logger: EventLogger;
-  /** Whether an endpoint is there; a connection is tried unless a test says otherwise. */
+  /** Whether an endpoint is reachable; replaced in tests, opens a connection by default. */
   readonly probe?: (target: ProbeTarget) => Promise<boolean>;
 }
 
-/** A first crash is told to others unless the request ends well within this time, ms: most do at their next endpoint. */
+/** A request's first crash is published after this delay, ms, unless the request succeeds before: most do at their next endpoint. */
 const PUBLISH_DELAY_MS = 250;
-/** Crashes from which it is told at once. */
+/** The marks of a request with at least this many crashes are published at once. */
 const IMMEDIATE_PUBLISH_MARKS = 2;
-/** Requests that one log line names. */
 const MAX_LOGGED_FINGERPRINTS = 20;
 
 export class CrashWatch {
-  /** By endpoint. */
+  /** By endpoint id. */
   private readonly inFlight = new Map<string, Set<InFlightRequest>>();
   private readonly recentAnswers = new RecentAnswers();
   private readonly probe: (target: ProbeTarget) => Promise<boolean>;
@@ -55,7 +54,8 @@
     this.detector = new CrashDetector({
       probe: this.probe,
       hasSurvivor: (id, beforeMs) => this.hasSurvivor(id, beforeMs),
-      onCrash: (entry, broken, atMs) => this.recordCrash(entry, broken, atMs),
+      onCrash: (entry, interrupted, atMs) =>
+        this.recordCrash(entry, interrupted, atMs),
     });
   }
 
@@ -63,19 +63,19 @@
     return this.hasSuspects && this.getStatus(fingerprint()).kind === 'held';
   }
 
-  /** Whether the request was beside a crash before. */
+  /** Whether the request was in flight on an endpoint when it crashed. */
   isSuspected(fingerprint: () => string): boolean {
     return this.hasSuspects && this.getStatus(fingerprint()).kind !== 'clear';
   }
 
-  /** Whether it is being found out if a suspect was beside one more crash. */
+  /** Whether a suspected request is part of a check in progress, which may add another crash to it. */
   isBeingChecked(fingerprint: () => string): boolean {
     if (!this.detector.isChecking || !this.isSuspected(fingerprint))
       return false;
     return this.detector.isCheckingRequest(fingerprint());
   }
 
-  /** For how much longer the request is held back, ms. */
+  /** Remaining time of the request's quarantine, ms; 0 if it has none. */
   measureQuarantineMs(fingerprint: string): number {
     const status = this.getStatus(fingerprint);
     if (status.kind !== 'held') return 0;
@@ -87,8 +87,8 @@
   }
 
   /**
-   * Whether a request may go to the endpoint now: a suspect only to one that is
-   * there, as it would be blamed for an endpoint that others had crashed.
+   * Whether a request may be sent to the endpoint now. A suspected request only goes to
+   * a reachable endpoint, or it would be blamed for a crash that another request caused.
    */
   async maySendTo(
     entry: EndpointEntry,
@@ -97,7 +97,7 @@
     return !this.isSuspected(fingerprint) || this.probe(entry);
   }
 
-  /** A request goes to an endpoint. */
+  /** Records that a request is sent to an endpoint. */
   recordStart(entry: EndpointEntry, fingerprint: () => string): WatchedRequest {
     if (this.hasSuspects) this.deps.book.recordStart(fingerprint(), Date.now());
     const watched = new WatchedRequest(entry, fingerprint, (ended, how) =>
@@ -108,28 +108,28 @@
     return watched;
   }
 
-  /** Resolves once it is known whether the endpoint has crashed, if that is asked. */
+  /** Resolves once the check of the endpoint ends; at once if there is none. */
   waitForCheck(endpointId: string): Promise<void> {
     return this.detector.waitForCheck(endpointId);
   }
 
-  /** The list says that the endpoint is gone, or has a new life. */
+  /** Handles an endpoint that left the list of endpoints or names a new incarnation there. */
   onEndpointGone(entry: EndpointEntry): void {
     this.detector.onEndpointGone(entry);
   }
 
-  /** The endpoint is another one now, or gone. */
+  /** Drops the tracked breaks of an endpoint that was replaced or removed. */
   forget(endpointId: string): void {
     this.detector.forget(endpointId);
   }
 
-  /** Another VM tells of a request; one that was answered here a moment ago is cleared for all. */
+  /** Handles marks from another VM: a request that was answered here recently is cleared on all VMs. */
   onRemoteUpdate(fingerprint: string): void {
     if (this.wasAnsweredRecently(fingerprint))
       this.withdrawSuspicion(fingerprint);
   }
 
-  /** Whether any request is suspected: without one no fingerprint is looked up. */
+  /** Whether any request is suspected; if not, fingerprints need not be computed. */
   private get hasSuspects(): boolean {
     return this.deps.book.size > 0;
   }
@@ -160,7 +160,7 @@
     if (hasRun) this.clearRequest(watched);
   }
 
-  /** Of a request on trial a broken connection is enough: a crash may be known for one only seconds later. */
+  /** For a probe of a quarantined request a broken connection counts as a crash at once, since a crash may be confirmed only seconds later. */
   private onBrokenConnection(watched: InFlightRequest): void {
     const fingerprint = watched.fingerprint();
     const isProbe = this.deps.book.runsAsProbe(fingerprint);
@@ -173,7 +173,7 @@
     this.detector.checkEndpoint(watched);
   }
 
-  /** What ran there without a crash is not to blame for earlier ones. */
+  /** Clears a request that ran without a crash, since it did not cause the earlier ones. */
   private clearRequest({fingerprint}: InFlightRequest): void {
     if (!this.hasSuspects && !this.detector.isChecking) return;
     this.detector.removeRequest(fingerprint());
--- a/packages/daemon/src/gateway/crashes/endpoint_probe.ts
+++ b/packages/daemon/src/gateway/crashes/endpoint_probe.ts
@@ -1,19 +1,18 @@
-/** Finds out whether an endpoint is still there after a connection to it broke. */
+/** Checks whether an endpoint is still reachable after a connection to it broke. */
 
 import net from 'node:net';
 
-/** Where to look. */
 export interface ProbeTarget {
   readonly host: string;
   readonly port: number;
 }
 
-/** No connection in this time: the endpoint is gone, ms; distances are a few ms. */
+/** Without a connection within this time the endpoint counts as gone, ms; network latency is a few ms. */
 const CONNECT_TIMEOUT_MS = 250;
-/** A connection that stays open for this long has an endpoint behind it, ms: something in between may take it and close it at once. */
+/** A connection that stays open this long is one to the endpoint, ms: a proxy in between may accept a connection and close it at once. */
 const MIN_OPEN_MS = 60;
 
-/** Opens a connection and sends nothing; false where none can be made or kept. */
+/** Opens a connection and sends nothing; resolves to false if it can not be made or does not stay open. */
 export function probeEndpoint({host, port}: ProbeTarget): Promise<boolean> {
   return new Promise(resolve => {
     const socket = net.connect({host, port});
@@ -27,7 +26,7 @@
       clearTimeout(timer);
       timer = setTimeout(() => finish(true), MIN_OPEN_MS);
     });
-    // An end without an error is no less of one.
+    // A connection that ends without an error was not kept open either.
     for (const event of ['error', 'end', 'close'] as const) {
       socket.once(event, () => finish(false));
     }
--- a/packages/daemon/src/gateway/crashes/watched_request.ts
+++ b/packages/daemon/src/gateway/crashes/watched_request.ts
@@ -1,4 +1,4 @@
-/** A request in flight at an endpoint, watched for a crash there. */
+/** A request in flight at an endpoint that is watched for crashes. */
 
 import type {EndpointEntry} from '@radishyoke/core/fleet/endpoint_entry';
 import type {ExchangeOutcome} from '../endpoints/endpoint_exchange.js';
@@ -6,33 +6,33 @@
 
 /** How a request ended at an endpoint. */
 export type WatchedEnd =
-  /** The endpoint answered, whatever it said. */
+  /** The endpoint answered, with any status. */
   | 'answered'
-  /** The connection broke, and not by this VM. */
+  /** The connection broke and this VM did not close it. */
   | 'broken'
-  /** This VM ended it, or the endpoint did not run it. */
+  /** This VM ended the request, or the endpoint did not run it. */
   | 'left';
 
-/** One request at one endpoint. */
+/** One request at one endpoint, as seen by this VM. */
 export interface InFlightRequest {
   readonly entry: EndpointEntry;
-  /** Computes the request's fingerprint, which only those need that are beside a crash. */
+  /** Computes the request's fingerprint, lazily since it is only needed after a crash. */
   readonly fingerprint: () => string;
   /** Steady ms. */
   readonly startedMs: number;
-  /** Events that its stream has brought. */
+  /** Number of events received on its stream. */
   readonly events: number;
 }
 
-/** Events after which a request did not crash its endpoint by being begun. */
+/** A crash after more events than this was not caused by the start of the request. */
 const MAX_EARLY_EVENTS = 3;
 
-/** Whether the request had only just begun there. */
+/** Whether the request ended soon after its start. */
 export function isEarlyEnd({events}: InFlightRequest): boolean {
   return events <= MAX_EARLY_EVENTS;
 }
 
-/** A request at an endpoint, until `end`. */
+/** Tracks a request at an endpoint until `end` is called. */
 export class WatchedRequest implements InFlightRequest {
   readonly startedMs = performance.now();
   private eventCount = 0;
@@ -59,7 +59,7 @@
   }
 }
 
-/** Reads off the outcome of an exchange or a stream how the request ended there. */
+/** Maps the outcome of an exchange or a stream to how the request ended at the endpoint. */
 export function toWatchedEnd(
   kind: ExchangeOutcome['kind'] | StreamOutcome['kind'],
   isEndedLocally: boolean,
--- a/packages/daemon/src/gateway/endpoints/__tests__/endpoint_exchange.spec.ts
+++ b/packages/daemon/src/gateway/endpoints/__tests__/endpoint_exchange.spec.ts
@@ -19,7 +19,7 @@
 
 const CASES: readonly FaultCase[] = [
   {
-    name: 'a whole answer is taken',
+    name: 'a complete answer is accepted',
     text: `${HEAD}Content-Length: 4\r\n\r\nbody`,
     ending: 'keep',
     expected: 'answered',
@@ -31,61 +31,61 @@
     expected: 'answered',
   },
   {
-    name: 'an answer without a length that is reset is not whole',
+    name: 'an answer without a length that is reset is incomplete',
     text: `${HEAD}Connection: close\r\n\r\nbo`,
     ending: 'reset',
     expected: 'unknown',
   },
   {
-    name: 'an answer that is shorter than it says is not whole',
+    name: 'an answer that is shorter than its Content-Length is incomplete',
     text: `${HEAD}Content-Length: 9\r\n\r\nbody`,
     ending: 'end',
     expected: 'unknown',
   },
   {
-    name: 'chunks without their end are not whole',
+    name: 'a chunked answer without its last chunk is incomplete',
     text: `${HEAD}Transfer-Encoding: chunked\r\n\r\n4\r\nbody\r\n`,
     ending: 'end',
     expected: 'unknown',
   },
   {
-    name: 'an answer to another request is not taken',
+    name: 'an answer to another request is rejected',
     text: 'HTTP/1.1 200 OK\r\nId: other\r\nStamp: s\r\nContent-Length: 4\r\n\r\nbody',
     ending: 'keep',
     expected: 'unknown',
   },
   {
-    name: 'a success without proof of origin is not taken',
+    name: 'a success without proof of origin is rejected',
     text: 'HTTP/1.1 200 OK\r\nId: a1\r\nContent-Length: 4\r\n\r\nbody',
     ending: 'keep',
     expected: 'unknown',
   },
   {
-    name: 'an encoded body is not the one that was asked for',
+    name: 'an encoded body is rejected',
     text: `${HEAD}Content-Encoding: gzip\r\nContent-Length: 4\r\n\r\nbody`,
     ending: 'keep',
     expected: 'unknown',
   },
   {
-    name: 'bytes that are no answer are not taken',
+    name: 'bytes that are no HTTP answer are rejected',
     text: 'what is this\r\n\r\n',
     ending: 'keep',
     expected: 'unknown',
   },
   {
-    name: 'a failure of the endpoint is its answer',
+    name: 'a failure status with proof of origin is accepted',
     text: 'HTTP/1.1 500 No\r\nId: a1\r\nStamp: s\r\nContent-Length: 0\r\n\r\n',
     ending: 'keep',
     expected: 'answered',
   },
   {
-    name: 'an endpoint that did not run the request says so',
+    name: 'an endpoint can state that it did not run the request',
     text: 'HTTP/1.1 503 Full\r\nId: a1\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n',
     ending: 'keep',
     expected: 'not_executed',
   },
   {
-    name: 'another endpoint at the address did not run it',
+    name: 'a misdirected request was not run',
     text: 'HTTP/1.1 421 Misdirected\r\nContent-Length: 0\r\n\r\n',
     ending: 'keep',
     expected: 'not_executed',
@@ -105,9 +105,8 @@
   });
 }
 
-// A caller gets half a body, or the answer to another request, as a success.
-// 1. An endpoint breaks off, spoils, doubles or mixes up its answer.
-// 2. Whatever has the look of an answer is passed on.
+// Guards against a caller receiving a partial body or the answer to another request as a
+// success, when an endpoint truncates, corrupts, duplicates or mixes up its answers.
 for (const {name, text, ending, expected} of CASES) {
   test(name, async t => {
     const server = await startRawServer(text, ending);
@@ -120,7 +119,7 @@
   });
 }
 
-test('a request that found no connection was not sent', async t => {
+test('a request without a connection is unsent', async t => {
   const server = await startRawServer('', 'keep');
   await server.close();
   t.is((await runExchange(server.entry.port)).kind, 'unsent');
--- a/packages/daemon/src/gateway/endpoints/__tests__/event_splitter.spec.ts
+++ b/packages/daemon/src/gateway/endpoints/__tests__/event_splitter.spec.ts
@@ -9,7 +9,7 @@
   'data: no number\n\n',
 ];
 
-test('events come whole and unchanged, however the bytes are cut', t => {
+test('events are complete and unchanged, however the bytes are split', t => {
   fc.assert(
     fc.property(fc.array(fc.integer({min: 1, max: 30})), sizes => {
       const bytes = Buffer.from(EVENTS.join(''));
@@ -34,13 +34,13 @@
   );
 });
 
-test('half an event is held back', t => {
+test('an incomplete event is not returned', t => {
   const splitter = new EventSplitter();
   t.deepEqual(splitter.push(Buffer.from('id: 1\ndata: o')), []);
   t.true(splitter.hasPartialEvent);
 });
 
-test('an event without an end is refused at some length', t => {
+test('an event over the size limit is refused', t => {
   const splitter = new EventSplitter();
   t.is(splitter.push(Buffer.alloc(1024 * 1024 + 1, 'x')), undefined);
 });
--- a/packages/daemon/src/gateway/endpoints/__tests__/http_call.spec.ts
+++ b/packages/daemon/src/gateway/endpoints/__tests__/http_call.spec.ts
@@ -3,7 +3,7 @@
 import test, {type ExecutionContext} from 'ava';
 import {callOnce, type CallRequest} from '../http_call.js';
 
-/** Sends `parts` of an answer, one each `gapMs`; without an end where `isCut`. */
+/** Starts a server that sends one of `parts` every `gapMs`, and never ends the answer if `isCut`. */
 async function startSlowServer(
   t: ExecutionContext,
   parts: readonly string[],
@@ -42,11 +42,9 @@
   return callOnce(agent, req).finally(() => agent.destroy());
 }
 
-// Nobody gets through to the log once many read at the same time.
-// 1. All share one link, so an answer takes longer than a call may.
-// 2. What has come is thrown away and asked for again from its start.
-// Cause: one deadline on the whole answer, however much of it had come.
-test('an answer that keeps coming outlives the time of silence', async t => {
+// Guards against reads of the log that never finish while many VMs share one link: a single
+// deadline for the complete answer discarded what had arrived, and the retry began anew.
+test('an answer that keeps arriving is not ended by the silence limit', async t => {
   const parts = Array.from({length: 12}, (_, i) => `${i};`);
   const req = await startSlowServer(t, parts, 40);
   const outcome = await call({...req, silenceMs: 300});
@@ -56,13 +54,13 @@
   }
 });
 
-test('an answer that stops coming ends with the time of silence', async t => {
+test('an answer that stops arriving is ended by the silence limit', async t => {
   const req = await startSlowServer(t, ['a'], 20, true);
   const outcome = await call({...req, silenceMs: 200});
   t.like(outcome, {kind: 'unknown', detail: 'no answer in 200 ms'});
 });
 
-test('an answer that never ends is given up all the same', async t => {
+test('an answer that never ends is ended by the total time limit', async t => {
   const parts = Array.from({length: 1000}, () => 'x');
   const req = await startSlowServer(t, parts, 20);
   const outcome = await call({...req, timeoutMs: 300, silenceMs: 200});
--- a/packages/daemon/src/gateway/endpoints/connections.ts
+++ b/packages/daemon/src/gateway/endpoints/connections.ts
@@ -1,16 +1,16 @@
-/** What all callers of outgoing HTTP share about their connections. */
+/** Connection handling that all outgoing HTTP requests share. */
 
 import type {Agent, ClientRequest} from 'node:http';
 
-/** What a request is told of its connection. */
+/** Events of the connection that a request is sent on. */
 export interface ConnectionEvents {
-  /** From here on the request may have reached the other side. */
+  /** The request may have reached the other side from now on. */
   onConnected(): void;
-  /** No connection came in time. */
+  /** No connection was made in time. */
   onTimeout?(): void;
 }
 
-/** Watches `req` until it has a connection, a kept one or a new one made within `timeoutMs`. */
+/** Reports when `req` has a connection, either a reused one or a new one made within `timeoutMs`. */
 export function watchConnection(
   req: ClientRequest,
   events: ConnectionEvents,
@@ -34,11 +34,11 @@
 }
 
 /**
- * Closes the connections that `agent` keeps for later.
+ * Closes the idle connections of `agent`.
  *
- * Something between the two ends can lose track of connections: they go silent
- * for good while new ones work. A request that met one takes all idle ones with
- * it, so that no other request meets the next.
+ * A network device between the two ends can lose track of connections, which then stay
+ * silent while new ones work. When a request meets such a connection, all idle ones are
+ * closed so that no further request is sent on another of them.
  */
 export function closeIdleConnections(agent: Agent): void {
   for (const sockets of Object.values(agent.freeSockets)) {
--- a/packages/daemon/src/gateway/endpoints/endpoint_exchange.ts
+++ b/packages/daemon/src/gateway/endpoints/endpoint_exchange.ts
@@ -1,7 +1,7 @@
 /**
- * One attempt of a caller's request at one endpoint. The answer is read whole
- * and checked before anyone sees it: a caller must never get half a body, the
- * answer to another request, or bytes that are no answer at all.
+ * One attempt of a request at one endpoint. The answer is read completely and checked
+ * before it is passed on, so that a caller never receives a partial body, the answer to
+ * another request, or bytes that are no HTTP answer.
  */
 
 import http from 'node:http';
@@ -12,16 +12,16 @@
 export interface ExchangeRequest {
   readonly method: string;
   readonly path: string;
-  /** As they are sent; the length of the body is added. */
+  /** Sent as they are, with `Content-Length` added. */
   readonly headers: http.OutgoingHttpHeaders;
   readonly body: Uint8Array;
   readonly attemptId: string | undefined;
 }
 
-/** An answer as the endpoint gave it. */
+/** An answer as received from the endpoint. */
 export interface EndpointAnswer {
   readonly status: number;
-  /** Names and values by turns, as received. */
+  /** Names and values alternating, as received. */
   readonly rawHeaders: readonly string[];
   readonly body: Buffer;
   readonly metadata: AnswerMetadata;
@@ -33,19 +33,19 @@
   | {readonly kind: 'not_executed'; readonly detail: string}
   /** No connection was made. */
   | {readonly kind: 'unsent'; readonly detail: string}
-  /** It was sent; whether it ran is not known. */
+  /** The request was sent; whether it ran is unknown. */
   | {readonly kind: 'unknown'; readonly detail: string};
 
-/** Nothing was sent: the endpoint was found to be away before. */
+/** Outcome if the endpoint was found unreachable before anything was sent. */
 export const ENDPOINT_GONE = {
   kind: 'unsent',
   detail: 'the endpoint is gone',
 } as const;
 
-/** Answers of plain services are held in memory whole; longer ones are refused, bytes. */
+/** Longest answer accepted, bytes, since answers of plain services are buffered completely. */
 const MAX_ANSWER_BYTES = 16 * 1024 * 1024;
 const MISDIRECTED = 421;
-/** A connection must be made within this time, ms; distances are a few ms. A machine without power never refuses one, and the request can still go elsewhere. */
+/** A connection must be made within this time, ms; network latency is a few ms. A machine without power never refuses a connection, and the request can still be sent to another endpoint. */
 const CONNECT_TIMEOUT_MS = 250;
 
 export class EndpointExchange {
@@ -61,7 +61,7 @@
     private readonly entry: EndpointEntry,
   ) {}
 
-  /** Sends `sent` and resolves when it is settled; never rejects. */
+  /** Sends `sent` and resolves with its outcome; never rejects. */
   run(sent: ExchangeRequest): Promise<ExchangeOutcome> {
     return new Promise(resolve => {
       const settle = (outcome: ExchangeOutcome) => {
@@ -81,29 +81,29 @@
     });
   }
 
-  /** Ends the attempt on its owner's word; the endpoint sees its connection close. */
+  /** Ends the attempt because its owner no longer needs it; the endpoint sees its connection close. */
   abort(): void {
     this.wasAborted = true;
     this.req?.destroy();
   }
 
-  /** Ends the attempt because its endpoint took too long. */
+  /** Ends the attempt because the endpoint took too long. */
   giveUp(): void {
     this.wasGivenUp = true;
     this.req?.destroy();
   }
 
-  /** Whether its owner ended it, so that its end tells nothing of the endpoint. */
+  /** Whether its owner aborted it, so that its outcome says nothing about the endpoint. */
   get isAborted(): boolean {
     return this.wasAborted;
   }
 
-  /** Whether this side ended it, so that its end is no broken connection. */
+  /** Whether this VM ended it, so that its end does not count as a broken connection. */
   get isEndedLocally(): boolean {
     return this.wasAborted || this.wasGivenUp;
   }
 
-  /** Steady ms from which the endpoint may have had it; undefined where it never did. */
+  /** Steady ms from which the endpoint may have received the request; undefined if no connection was made. */
   get sentMs(): number | undefined {
     return this.connectedMs;
   }
@@ -142,7 +142,7 @@
     const metadata = this.protocol.readAnswer(res.headers);
     const problem = findAnswerProblem(res, metadata, sent.attemptId);
     if (problem) {
-      // What follows on this connection can not be trusted either.
+      // Later data on this connection can not be trusted either.
       fail(problem);
       this.req?.destroy();
       return;
@@ -160,7 +160,7 @@
     });
     res.on('error', err => fail(err.message));
     res.on('end', () => {
-      if (!res.complete) return fail('the answer broke off');
+      if (!res.complete) return fail('the answer ended early');
       const status = res.statusCode ?? 0;
       if (metadata.isNotExecuted || status === MISDIRECTED) {
         settle({kind: 'not_executed', detail: `status ${status}`});
@@ -170,29 +170,29 @@
       const body = Buffer.concat(chunks);
       settle({
         kind: 'answered',
-        answer: {status, rawHeaders, body, metadata: metadata},
+        answer: {status, rawHeaders, body, metadata},
       });
     });
   }
 }
 
-/** Why an answer can not be the endpoint's to this attempt, if it can not. */
+/** Returns why the answer can not be the endpoint's answer to this attempt, or undefined if it can. */
 export function findAnswerProblem(
   res: http.IncomingMessage,
   metadata: AnswerMetadata,
   attemptId: string | undefined,
 ): string | undefined {
   const status = res.statusCode ?? 0;
-  // An endpoint may send a second answer to an earlier request, which then
-  // stands where this one's is expected. Its id gives it away.
+  // An endpoint may send a second answer to an earlier request on this
+  // connection, which is recognised by its attempt id.
   const isOther = metadata.attemptId !== attemptId;
   if (isOther && (metadata.attemptId !== undefined || isSuccess(status))) {
     return 'the answer is to another request';
   }
   if (isSuccess(status) && metadata.stamp === undefined) {
-    return 'the answer bears no proof';
+    return 'the answer has no proof of origin';
   }
-  // Callers ask for bodies as they are; a coded one is not the endpoint's.
+  // Bodies are requested without a content encoding; an encoded one does not come from the endpoint.
   if (res.headers['content-encoding'] !== undefined) {
     return 'the answer is encoded';
   }
--- a/packages/daemon/src/gateway/endpoints/endpoint_links.ts
+++ b/packages/daemon/src/gateway/endpoints/endpoint_links.ts
@@ -1,13 +1,13 @@
 /**
- * Connections to endpoints: one pool for each life of each endpoint, so that a
- * request never goes out on a connection that was opened to another one.
+ * Connection pools to endpoints, one for each incarnation of an endpoint, so that a
+ * request is never sent on a connection that was opened to an earlier incarnation.
  */
 
 import http from 'node:http';
 import type {EndpointEntry} from '@radishyoke/core/fleet/endpoint_entry';
 import {closeIdleConnections} from './connections.js';
 
-/** An idle connection is given up after this long, ms; below the shortest idle time-out that endpoints were seen to state. */
+/** Idle connections are closed after this time, ms, which is below the shortest idle time-out that endpoints were seen to announce. */
 const IDLE_TIMEOUT_MS = 4000;
 
 interface Link {
@@ -19,7 +19,7 @@
 export class EndpointLinks {
   private readonly links = new Map<string, Link>();
 
-  /** The pool that leads to `entry` as it lives now. */
+  /** Returns the pool for the incarnation and address in `entry`; closes that of an earlier one. */
   getAgent(entry: EndpointEntry): http.Agent {
     const address = `${entry.host}:${entry.port}`;
     const existing = this.links.get(entry.id);
@@ -39,13 +39,13 @@
     return agent;
   }
 
-  /** Gives up the idle connections to an endpoint: they may all be silent. */
+  /** Closes the idle connections to an endpoint, since all of them may have gone silent. */
   closeIdle(endpointId: string): void {
     const agent = this.links.get(endpointId)?.agent;
     if (agent) closeIdleConnections(agent);
   }
 
-  /** Closes all connections to an endpoint that is gone. */
+  /** Closes all connections to an endpoint that was removed. */
   drop(endpointId: string): void {
     this.links.get(endpointId)?.agent.destroy();
     this.links.delete(endpointId);
--- a/packages/daemon/src/gateway/endpoints/endpoint_picker.ts
+++ b/packages/daemon/src/gateway/endpoints/endpoint_picker.ts
@@ -1,4 +1,4 @@
-/** Picks an endpoint for one attempt, by what this VM has seen of each. */
+/** Picks an endpoint for one attempt, based on what this VM observed of each. */
 
 import type {EndpointEntry} from '@radishyoke/core/fleet/endpoint_entry';
 import type {EndpointRoster} from '@radishyoke/core/fleet/endpoint_roster';
@@ -11,7 +11,7 @@
   readonly dataCentre: string;
 }
 
-/** The least loaded endpoint of `service` that was not tried; where all were, the best of them. */
+/** Returns the best endpoint of `service` that was not tried yet, or the best of all if every one was tried. */
 export function pickEndpoint(
   {roster, view, dataCentre}: PickerDeps,
   service: string,
--- a/packages/daemon/src/gateway/endpoints/endpoint_protocol.ts
+++ b/packages/daemon/src/gateway/endpoints/endpoint_protocol.ts
@@ -1,6 +1,7 @@
 /**
- * How the gateway speaks to endpoints, in its own terms. The adapter of a
- * platform turns these into that platform's headers, paths and bodies.
+ * Requests and answers between the gateway and endpoints in the gateway's own terms. The
+ * adapter of a platform implements `EndpointProtocol` to translate them into that
+ * platform's headers, paths and bodies.
  */
 
 import type {IncomingHttpHeaders, OutgoingHttpHeaders} from 'node:http';
@@ -12,28 +13,28 @@
 import type {ModelVersion} from '@radishyoke/core/fleet/endpoint_entry';
 import type {Result} from '@radishyoke/shared/result';
 
-/** What goes with a request that is passed on. */
+/** Values that are sent along with a forwarded request. */
 export interface ForwardTerms {
-  /** Any other endpoint at the same address must refuse the request. */
+  /** Intended endpoint; any other endpoint at the same address must refuse the request. */
   readonly endpointId: string;
-  /** Time that the endpoint may take, ms. */
+  /** Time within which the endpoint must answer, ms. */
   readonly deadlineMs: number;
-  /** In whose name; endpoints are told the account, and never a key. */
+  /** The caller on whose behalf it is sent; endpoints receive the account, never a key. */
   readonly caller: Caller;
-  /** The last event that is known; the endpoint goes on after it. */
+  /** The last event that was received; the endpoint resumes after it. */
   readonly lastEventId?: number;
 }
 
-/** What goes with an item of a batch. */
+/** Values that are sent along with a batch item. */
 export interface GenerationTerms extends ForwardTerms {
   readonly host: string;
-  /** The endpoint must refuse if its weights have another version. */
+  /** The endpoint must refuse the item if its weights have another version. */
   readonly expectVersion?: number;
 }
 
-/** What an answer says beside its status and body. */
+/** Metadata in the headers of an endpoint's answer. */
 export interface AnswerMetadata {
-  /** Id of the attempt that it answers. */
+  /** Id of the attempt that is answered. */
   readonly attemptId: string | undefined;
   /** The endpoint's proof of origin. */
   readonly stamp: string | undefined;
@@ -49,24 +50,24 @@
   readonly slots: number;
 }
 
-/** What an engine reports of itself. */
+/** Status report of an engine. */
 export interface EngineReport {
   readonly models: readonly ModelVersion[];
-  /** Whether it is carrying out an order. */
+  /** Whether the engine is executing an order. */
   readonly isBusy: boolean;
-  /** Orders accepted in this life. */
+  /** Number of orders accepted in this incarnation. */
   readonly orders: number;
-  /** Requests that it runs or has waiting, some hundred ms ago. */
+  /** Number of requests running or waiting, a few hundred ms ago. */
   readonly runs: number;
-  /** As in the endpoint's entry. */
+  /** Incarnation, as in the endpoint's entry. */
   readonly bornMs: number;
 }
 
-/** How running generations live through a change of weights. */
+/** What happens to running generations when weights are loaded. */
 export type LoadMode =
-  /** They go on under the new weights. */
+  /** They continue with the new weights. */
   | 'keep'
-  /** They finish first. */
+  /** They finish before the load. */
   | 'wait';
 
 export interface LoadOrder {
@@ -76,11 +77,11 @@
   readonly mode: LoadMode;
   readonly owner: string;
   readonly fencingToken: number;
-  /** The order is void unless the engine has accepted this many so far. */
+  /** The engine rejects the order unless it has accepted exactly this many before. */
   readonly expectedOrders: number;
 }
 
-/** What an engine said to an order. */
+/** An engine's answer to an order. */
 export type OrderAnswer =
   | 'accepted'
   | 'holds_already'
@@ -89,7 +90,7 @@
   | 'refused'
   | 'misdirected';
 
-/** A call to an endpoint that is neither a request nor an item. */
+/** A control call to an endpoint, apart from requests and batch items. */
 export interface EndpointCall {
   readonly method: string;
   readonly path: string;
@@ -98,10 +99,10 @@
 }
 
 export abstract class EndpointProtocol {
-  /** Name of the event field that carries a change of the weight version. */
+  /** Name of the event field that announces a change of the weight version. */
   abstract readonly versionField: string;
 
-  /** Headers of a caller's request as they are passed on. */
+  /** Builds the headers of a forwarded request from those received from the caller. */
   abstract forwardHeaders(
     received: IncomingHttpHeaders,
     terms: ForwardTerms,
--- a/packages/daemon/src/gateway/endpoints/endpoint_stream.ts
+++ b/packages/daemon/src/gateway/endpoints/endpoint_stream.ts
@@ -1,6 +1,6 @@
 /**
- * One attempt at an endpoint whose answer is a series of events. Events are
- * handed on as they arrive, each of them whole.
+ * One attempt at an endpoint whose answer is a stream of events. Each event is passed to
+ * the reader as soon as it has arrived completely.
  */
 
 import http from 'node:http';
@@ -15,32 +15,32 @@
 import type {AnswerMetadata, EndpointProtocol} from './endpoint_protocol.js';
 import {EventSplitter, type RawEvent} from './event_splitter.js';
 
-/** How an attempt ended. */
+/** How a streaming attempt ended. */
 export type StreamOutcome =
-  /** All events came, and the endpoint ended the answer as it should. */
+  /** All events were received and the endpoint ended the answer properly. */
   | {readonly kind: 'whole'}
-  /** The endpoint answered, but not with events. */
+  /** The endpoint answered with a failure status instead of events. */
   | {readonly kind: 'answered'; readonly answer: EndpointAnswer}
   /** The endpoint states that it did not run the request. */
   | {readonly kind: 'not_executed'; readonly detail: string}
   /** No connection was made. */
   | {readonly kind: 'unsent'; readonly detail: string}
-  /** The stream broke off, or whether it ran is not known. */
+  /** The stream ended early, or it is unknown whether the request ran. */
   | {readonly kind: 'unknown'; readonly detail: string};
 
-/** What the reader of a stream does with it. */
+/** Receives the events of a stream. */
 export interface StreamReader {
-  /** The answer has begun; `rawHeaders` are names and values by turns. */
+  /** Called when the answer begins; `rawHeaders` are names and values alternating. */
   onHead(rawHeaders: readonly string[], metadata: AnswerMetadata): void;
-  /** Takes an event; false where it can not follow what came before. */
+  /** Handles an event; returns false if it does not follow the events before it. */
   onEvent(event: RawEvent): boolean;
-  /** Resolves when more can be taken. */
+  /** Resolves when the reader can take more; undefined if it can do so now. */
   waitForDrain(): Promise<void> | undefined;
 }
 
-/** A connection must be made within this time, ms; distances are a few ms. */
+/** A connection must be made within this time, ms; network latency is a few ms. */
 const CONNECT_TIMEOUT_MS = 250;
-/** A failure's body is read up to this length, bytes. */
+/** Longest body of a failure that is accepted, bytes. */
 const MAX_FAILURE_BYTES = 1024 * 1024;
 const MISDIRECTED = 421;
 
@@ -58,7 +58,7 @@
     private readonly reader: StreamReader,
   ) {}
 
-  /** Sends `sent` and resolves when the attempt is over; never rejects. */
+  /** Sends `sent` and resolves with the outcome of the attempt; never rejects. */
   run(sent: ExchangeRequest): Promise<StreamOutcome> {
     const outcome = new Promise<StreamOutcome>(resolve => {
       this.resolve = resolve;
@@ -77,7 +77,7 @@
     this.req = req;
     const events = {
       onConnected: () => (this.isConnected = true),
-      onTimeout: () => this.abort('no connection in time'),
+      onTimeout: () => this.abort('the connection timed out'),
     };
     watchConnection(req, events, CONNECT_TIMEOUT_MS);
     req.on('error', err => this.fail(err.message));
@@ -94,7 +94,7 @@
     this.req?.destroy();
   }
 
-  /** Whether this side ended it, so that its end is no broken connection. */
+  /** Whether this VM ended it, so that its end does not count as a broken connection. */
   get isEndedLocally(): boolean {
     return this.wasAborted;
   }
@@ -114,9 +114,9 @@
     this.reader.onHead(res.rawHeaders, metadata);
     res.on('data', (chunk: Buffer) => this.handleChunk(res, chunk));
     res.on('end', () => {
-      if (!res.complete) return this.fail('the stream broke off');
+      if (!res.complete) return this.fail('the stream ended early');
       if (this.splitter.hasPartialEvent)
-        return this.fail('half an event at the end');
+        return this.fail('the stream ended in the middle of an event');
       this.resolve({kind: 'whole'});
     });
   }
@@ -146,7 +146,7 @@
       if (bytes > MAX_FAILURE_BYTES) this.abort('the answer is too long');
     });
     res.on('end', () => {
-      if (!res.complete) return this.fail('the answer broke off');
+      if (!res.complete) return this.fail('the answer ended early');
       const status = res.statusCode ?? 0;
       if (metadata.isNotExecuted || status === MISDIRECTED) {
         this.resolve({kind: 'not_executed', detail: `status ${status}`});
@@ -156,7 +156,7 @@
       const body = Buffer.concat(chunks);
       this.resolve({
         kind: 'answered',
-        answer: {status, rawHeaders, body, metadata: metadata},
+        answer: {status, rawHeaders, body, metadata},
       });
     });
   }
--- a/packages/daemon/src/gateway/endpoints/endpoint_view.ts
+++ b/packages/daemon/src/gateway/endpoints/endpoint_view.ts
@@ -1,4 +1,4 @@
-/** What this VM has seen of plain endpoints, for choosing among them. */
+/** Load and failures of plain endpoints as observed by this VM, for choosing among them. */
 
 import type {EndpointEntry} from '@radishyoke/core/fleet/endpoint_entry';
 import type {EndpointCandidate} from '@radishyoke/core/routing/endpoint_choice';
@@ -14,7 +14,7 @@
   lastFailureMs: number;
 }
 
-/** A reported load says nothing any more after this long, ms: requests last a tenth of it. */
+/** A reported load is ignored after this time, ms: requests take about a tenth of it. */
 const MAX_REPORT_AGE_MS = 500;
 
 export class EndpointView {
@@ -43,7 +43,7 @@
     state.inFlight = Math.max(state.inFlight - 1, 0);
   }
 
-  /** Takes what the end of an exchange says of the endpoint. */
+  /** Updates the endpoint's load and failures from the outcome of an exchange. */
   recordOutcome(
     entry: EndpointEntry,
     outcome: ExchangeOutcome,
--- a/packages/daemon/src/gateway/endpoints/event_splitter.ts
+++ b/packages/daemon/src/gateway/endpoints/event_splitter.ts
@@ -1,30 +1,30 @@
 /**
- * Cuts a stream of server-sent events into whole events, byte for byte as they
- * came, so that an endpoint that stops in the middle of one hands on no half.
+ * Splits a stream of server-sent events into complete events without changing a byte, so
+ * that nothing of an event is passed on if the endpoint stops in the middle of it.
  */
 
 /** One event as received, with the blank line that ends it. */
 export interface RawEvent {
   readonly bytes: Buffer;
-  /** Undefined where it states no whole number. */
+  /** Undefined if the event has no id or one that is no whole number. */
   readonly id: number | undefined;
 }
 
 const LINE_FEED = 0x0a;
 const CARRIAGE_RETURN = 0x0d;
 const ID_PATTERN = /^id: ?(\d+)\r?$/m;
-/** An event may not be longer, bytes; those of known endpoints have some hundred. */
+/** Longest event accepted, bytes; those of known endpoints have a few hundred bytes. */
 const MAX_EVENT_BYTES = 1024 * 1024;
 
 export class EventSplitter {
   private partialEvent: Buffer = Buffer.alloc(0);
 
-  /** Whether bytes of an event that has not ended are held. */
+  /** Whether bytes of an incomplete event are buffered. */
   get hasPartialEvent(): boolean {
     return this.partialEvent.length > 0;
   }
 
-  /** Takes the next bytes; returns the events that are whole with them, or undefined where one is too long. */
+  /** Adds the next bytes and returns the events that they complete, or undefined if an event is too long. */
   push(chunk: Buffer): readonly RawEvent[] | undefined {
     const bytes = this.hasPartialEvent
       ? Buffer.concat([this.partialEvent, chunk])
@@ -40,7 +40,7 @@
   }
 }
 
-/** Where the event that begins at `from` ends; -1 where it does not yet. */
+/** Returns the end of the event that begins at `from`, or -1 if it is incomplete. */
 function findEnd(bytes: Buffer, from: number): number {
   let at = bytes.indexOf(LINE_FEED, from);
   while (at >= 0) {
--- a/packages/daemon/src/gateway/endpoints/http_call.ts
+++ b/packages/daemon/src/gateway/endpoints/http_call.ts
@@ -1,4 +1,4 @@
-/** One HTTP call with a bound on its time, told apart by what may have happened. */
+/** A single HTTP call with a time limit, whose outcome says whether it may have been executed. */
 
 import http from 'node:http';
 import {watchConnection} from './connections.js';
@@ -7,13 +7,13 @@
   readonly host: string;
   readonly port: number;
   readonly method: string;
-  /** With its query. */
+  /** Includes the query. */
   readonly path: string;
   readonly headers?: http.OutgoingHttpHeaders;
   readonly body?: Uint8Array;
-  /** For connection, request and whole answer together, ms. */
+  /** Limit for connection, request and complete answer together, ms. */
   readonly timeoutMs: number;
-  /** For each part of it: the call ends sooner once nothing has come for this long, ms. */
+  /** The call also ends if nothing was received for this long, ms. */
   readonly silenceMs?: number;
   readonly signal?: AbortSignal;
 }
@@ -27,7 +27,7 @@
     }
   /** No connection was made, so nothing was sent. */
   | {readonly kind: 'unsent'; readonly detail: string}
-  /** It was sent, in part at least, and no whole answer came. */
+  /** The call was sent at least in part, and no complete answer was received. */
   | {readonly kind: 'unknown'; readonly detail: string};
 
 /** Sends `call` on a connection of `agent`; never rejects. */
@@ -45,7 +45,7 @@
     const {silenceMs = call.timeoutMs} = call;
     const silenceTimer = setTimeout(timeOut, silenceMs, silenceMs);
     const onAbort = () => {
-      fail('given up by the caller');
+      fail('aborted by the caller');
       req.destroy();
     };
     const finish = (outcome: CallOutcome) => {
@@ -74,7 +74,7 @@
       });
       res.on('error', err => fail(err.message));
       res.on('end', () => {
-        if (!res.complete) return fail('the answer broke off');
+        if (!res.complete) return fail('the answer ended early');
         finish({
           kind: 'answered',
           status: res.statusCode ?? 0,
--- a/packages/daemon/src/gateway/requests/__tests__/forwarder.spec.ts
+++ b/packages/daemon/src/gateway/requests/__tests__/forwarder.spec.ts
@@ -28,7 +28,7 @@
 };
 const CRASHING_BODY = 'crash';
 
-/** A forwarder before endpoints that break the connection of a request with `CRASHING_BODY`. */
+/** Starts a forwarder with six endpoints that break the connection on a request with `CRASHING_BODY`. */
 async function startForwarder(t: ExecutionContext, isReachable: () => boolean) {
   const reached: string[] = [];
   const roster = new EndpointRoster(1000);
@@ -79,8 +79,8 @@
   return {ask, reached};
 }
 
-// Guards against a request that crashes one endpoint after the other.
-test('a request beside three crashes reaches no endpoint more', async t => {
+// Guards against a request that crashes one endpoint after another.
+test('a request that was in flight in three crashes is sent to no further endpoint', async t => {
   const {ask, reached} = await startForwarder(t, () => false);
   const first = await ask(CRASHING_BODY);
   t.is(first.kind === 'failed' && first.error.kind, 'endpoint_failed');
@@ -94,8 +94,8 @@
   t.is((await ask('other')).kind, 'answered');
 });
 
-// Guards against refusals of requests whose connections were only reset.
-test('a request whose connections break is not held back where endpoints live', async t => {
+// Guards against quarantining requests whose connections were merely reset.
+test('a request whose connections break is not quarantined while its endpoints stay reachable', async t => {
   const {ask, reached} = await startForwarder(t, () => true);
   for (let i = 0; i < 3; i++) {
     const outcome = await ask(CRASHING_BODY);
--- a/packages/daemon/src/gateway/requests/__tests__/stream_call.spec.ts
+++ b/packages/daemon/src/gateway/requests/__tests__/stream_call.spec.ts
@@ -16,7 +16,7 @@
 import {copyHeaders} from '../caller_answer.js';
 import {StreamCall} from '../stream_call.js';
 
-/** What an endpoint does with its n-th request. */
+/** How an endpoint handles its n-th request. */
 type Script = (
   req: http.IncomingMessage,
   res: http.ServerResponse,
@@ -55,7 +55,7 @@
   return (server.address() as AddressInfo).port;
 }
 
-/** A front whose every request is a stream from one endpoint that follows `script`. */
+/** Starts a front server that streams every request from one endpoint that runs `script`. */
 async function startFront(
   t: ExecutionContext,
   script: Script,
@@ -131,7 +131,7 @@
           status: res.statusCode,
           stamp: res.headers['stamp'] as string | undefined,
           text,
-          isComplete: isComplete,
+          isComplete,
         });
       res.on('error', () => finish(false));
       res.on('end', () => finish(res.complete));
@@ -142,10 +142,9 @@
 
 const ALL_EVENTS = 'id: 1\ndata: 1\n\nid: 2\ndata: 2\n\nid: 3\ndata: 3\n\n';
 
-// A reader waits for the first word until the whole text is made.
-// 1. An endpoint sends its first event and works on.
-// Cause: answers of endpoints were read whole before a byte went on.
-test('an event reaches the caller before the next one is made', async t => {
+// Guards against a caller that gets its first event only after the last one was generated,
+// because the answer was read completely before any of it was passed on.
+test('an event reaches the caller before the next one is generated', async t => {
   let releaseNext: () => void = () => undefined;
   const released = new Promise<void>(resolve => (releaseNext = resolve));
   const {port} = await startFront(t, async (_req, res) => {
@@ -162,10 +161,9 @@
   t.true(isComplete);
 });
 
-// A reader sees a text that is cut off in the middle of a word, or twice.
-// 1. An endpoint breaks off in the middle of its second event.
-// 2. The stream goes on elsewhere after the last whole event.
-test('a stream that may be resumed goes on in the same answer', async t => {
+// Guards against lost or repeated text: an endpoint fails in the middle of its second
+// event, and the stream continues at another one after the last complete event.
+test('a resumable stream continues in the same answer', async t => {
   const lastEventIds: unknown[] = [];
   const {port} = await startFront(t, async (req, res, count) => {
     lastEventIds.push(req.headers['last-id']);
@@ -188,10 +186,9 @@
   t.deepEqual(lastEventIds, [undefined, '1']);
 });
 
-// A request that may run once runs twice, or half an answer passes for whole.
-// 1. The endpoint breaks off after its first event.
-// 2. The rule does not allow to resume.
-test('a stream that may not be resumed is broken off, not repeated', async t => {
+// Guards against a second run of a request that may run only once, and against a partial
+// answer that looks complete: the endpoint fails after its first event.
+test('a stream that is not resumable is broken off, not repeated', async t => {
   const front = await startFront(
     t,
     async (_req, res) => {
@@ -207,7 +204,7 @@
   t.is(front.countRequests(), 1);
 });
 
-test('a run that does not follow what the caller has is not joined', async t => {
+test('a retry whose events do not follow those already sent is rejected', async t => {
   const {port} = await startFront(t, async (_req, res, count) => {
     writeHead(res, `s${count}`);
     writeEvent(res, 1);
@@ -224,7 +221,7 @@
   t.false(isComplete);
 });
 
-test('a failure before the first event is told as such', async t => {
+test('a failure before the first event is passed on with its own status', async t => {
   const {port} = await startFront(
     t,
     (_req, res) => {
@@ -235,7 +232,7 @@
   t.like(await ask(port), {status: 500, text: 'no', stamp: 's1'});
 });
 
-test('a stream that no endpoint ran is refused', async t => {
+test('a stream that every endpoint refused is refused', async t => {
   const front = await startFront(t, (_req, res) => {
     res.writeHead(503, {'not-run': '1'}).end();
   });
@@ -243,10 +240,9 @@
   t.is(front.countRequests(), 4);
 });
 
-// An endpoint works for nobody.
-// 1. The caller leaves in the middle of a stream.
-// 2. The endpoint must see its connection close at once.
-test('a caller that leaves ends the run', async t => {
+// Guards against an endpoint that keeps generating for a caller that disconnected in the
+// middle of a stream: the endpoint must see its connection close at once.
+test('a caller that disconnects ends the run', async t => {
   let close: () => void = () => undefined;
   const closed = new Promise<void>(resolve => (close = resolve));
   const {port} = await startFront(t, (_req, res) => {
--- a/packages/daemon/src/gateway/requests/caller_answer.ts
+++ b/packages/daemon/src/gateway/requests/caller_answer.ts
@@ -1,4 +1,4 @@
-/** Answers as callers get them: those of endpoints, and the gateway's own. */
+/** Writes answers to callers: endpoint answers that are passed on and the gateway's own errors. */
 
 import type {ServerResponse} from 'node:http';
 import {
@@ -10,8 +10,8 @@
 import type {CallerProtocol} from './caller_protocol.js';
 
 /**
- * Answers `res` with `error`. Once the head of another answer is out the
- * connection is broken: a caller must not take half an answer for whole.
+ * Sends `error` as the answer on `res`. If the head of another answer was already
+ * sent, the connection is destroyed so that a partial answer never looks complete.
  */
 export function answerError(
   res: ServerResponse,
@@ -31,7 +31,7 @@
   );
 }
 
-/** Copies an endpoint's headers, given as names and values by turns; the length of a body is the sender's matter. */
+/** Copies an endpoint's raw headers (names and values alternating) to `res`, except hop-by-hop headers and `Content-Length`, which depends on how the body is sent. */
 export function copyHeaders(
   rawHeaders: readonly string[],
   res: ServerResponse,
--- a/packages/daemon/src/gateway/requests/caller_protocol.ts
+++ b/packages/daemon/src/gateway/requests/caller_protocol.ts
@@ -1,20 +1,20 @@
 /**
- * How callers speak to the gateway, in its own terms. The adapter of a platform
- * turns that platform's calls into these.
+ * Calls and answers of callers in the gateway's own terms. The adapter of a platform
+ * implements `CallerProtocol` to translate between these and the platform's HTTP API.
  */
 
 import type {IncomingHttpHeaders} from 'node:http';
 import type {Batch, ItemResult} from '@radishyoke/core/batches/batch_record';
 import type {Result} from '@radishyoke/shared/result';
 
-/** What a caller asks for, as far as method and path tell. */
+/** A caller's request, classified by its method, path and headers. */
 export type CallerCall =
   | {
       readonly kind: 'read_results';
       readonly batchId: string;
-      /** Position of the first result wanted, from 0. */
+      /** Position of the first result to return, from 0. */
       readonly after: number;
-      /** How long the call may wait for a result, ms. */
+      /** Longest time that the call waits for a result, ms. */
       readonly waitMs: number;
     }
   | {
@@ -23,32 +23,32 @@
       readonly itemId: string;
     }
   | {readonly kind: 'end_batch'; readonly batchId: string}
-  /** Not a call of the gateway's own: a rule decides. */
+  /** Not a call of the gateway's own API: a route decides where it goes. */
   | {readonly kind: 'request'};
 
-/** What a request says of itself. */
+/** Metadata that a caller sends with a request. */
 export interface CallerAttempt {
-  /** Undefined where the caller gave none. */
+  /** Undefined if the caller sent none. */
   readonly id: string | undefined;
-  /** How long the caller will wait, ms. */
+  /** How long the caller waits for the answer, ms. */
   readonly deadlineMs: number | undefined;
 }
 
-/** A page of a batch's results. */
+/** One page of a batch's results. */
 export interface ResultPage {
-  /** Items of the batch. */
+  /** Number of items in the batch. */
   readonly total: number;
   readonly results: readonly ItemResult[];
-  /** Position after the last of `results`. */
+  /** Position after the last entry of `results`. */
   readonly next: number;
 }
 
-/** Where and when a batch was submitted. */
+/** Where, when and by whom a batch was submitted. */
 export interface Submission {
   readonly attemptId: string;
   readonly host: string;
   readonly path: string;
-  /** Client account of the submitter, if it has one. */
+  /** Client account of the submitter, if any. */
   readonly account: string | undefined;
   readonly atMs: number;
 }
@@ -62,14 +62,14 @@
 
   abstract readAttempt(headers: IncomingHttpHeaders): CallerAttempt;
 
-  /** The secret by which a caller's account is known. It must not be logged or passed on. */
+  /** Reads the key that identifies the caller's client account. It is secret and must not be logged or passed on. */
   abstract readKey(headers: IncomingHttpHeaders): string | undefined;
 
   abstract decodeBatch(body: Uint8Array, submission: Submission): Result<Batch>;
 
   abstract encodePage(page: ResultPage): Uint8Array;
 
-  /** Headers of a refusal or failure, beside those of its body. */
+  /** Returns the headers of an error answer, apart from those that describe its body. */
   abstract answerHeaders(
     retryAfterMs: number | undefined,
   ): Readonly<Record<string, string>>;
--- a/packages/daemon/src/gateway/requests/forward_request.ts
+++ b/packages/daemon/src/gateway/requests/forward_request.ts
@@ -1,4 +1,4 @@
-/** A caller's request on its way to endpoints, and what it needs there. */
+/** A caller's request to be forwarded to endpoints, and the collaborators that forwarding needs. */
 
 import type {IncomingHttpHeaders} from 'node:http';
 import type {Caller} from '@radishyoke/core/accounts/client_account';
@@ -21,7 +21,7 @@
   readonly caller: Caller;
   readonly route: Route;
   readonly configVersion: number;
-  /** Steady ms at which the caller must have its answer. */
+  /** Steady ms by which the caller must have its answer. */
   readonly deadlineMs: number;
 }
 
@@ -32,7 +32,7 @@
   readonly protocol: EndpointProtocol;
   readonly dataCentre: string;
   readonly crashes: CrashWatch;
-  /** Present where usage is to be reported. */
+  /** Set if usage is reported. */
   readonly meter?: UsageMeter;
   readonly metrics: GatewayMetrics;
   readonly logger: EventLogger;
--- a/packages/daemon/src/gateway/requests/forwarder.ts
+++ b/packages/daemon/src/gateway/requests/forwarder.ts
@@ -1,6 +1,6 @@
 /**
- * Passes one request of a caller on to endpoints of its route's service, with
- * retries and hedges as the attempt policy says, and settles on one outcome.
+ * Forwards a caller's request to endpoints of its route's service, retries and hedges
+ * it according to the attempt policy, and settles on exactly one outcome.
  */
 
 import type {EndpointEntry} from '@radishyoke/core/fleet/endpoint_entry';
@@ -32,28 +32,28 @@
   | {readonly kind: 'answered'; readonly answer: EndpointAnswer}
   | {readonly kind: 'failed'; readonly error: RadishyokeError};
 
-/** An endpoint gets this much less than is left, ms: its answer has to travel back. */
+/** Subtracted from the remaining time to get an endpoint's deadline, ms, since its answer has to travel back. */
 const RETURN_TRIP_MS = 4;
-/** Less time than this is not worth an attempt, ms. */
+/** No attempt is started with less time left than this, ms. */
 const MIN_ATTEMPT_MS = 8;
-/** When to come back after nothing could take the request, ms: about as long as the list of endpoints lags. */
+/** Retry delay sent to a caller whose request no endpoint could take, ms: about as long as the list of endpoints lags behind. */
 const RETRY_AFTER_MS = 150;
 
 export class Forwarder {
   constructor(private readonly deps: ForwarderDeps) {}
 
-  /** Starts `req`; the returned call can be given up. */
+  /** Starts forwarding `req`; the returned call can be abandoned. */
   start(req: ForwardRequest): ForwardCall {
     return new ForwardCall(this.deps, req);
   }
 
-  /** Starts `req`, whose answer is a series of events for `res`. */
+  /** Prepares forwarding `req`, whose answer is streamed to `res` as events. */
   startStream(req: ForwardRequest, res: ServerResponse): StreamCall {
     return new StreamCall(this.deps, req, res);
   }
 }
 
-/** One request on its way. */
+/** One request that is being forwarded. */
 export class ForwardCall {
   readonly outcome: Promise<ForwardOutcome>;
   private readonly tried = new Set<string>();
@@ -92,7 +92,7 @@
     this.scheduleHedge();
   }
 
-  /** The caller has gone: whatever is under way is stopped. */
+  /** Aborts all pending attempts because the caller disconnected. */
   abandon(): void {
     this.settle({kind: 'failed', error: createError('cancelled')});
   }
@@ -169,7 +169,7 @@
     return outcome;
   }
 
-  /** A request counts once in usage, from the first endpoint that had it. */
+  /** Counts the request once in usage, at the time it was first sent to an endpoint. */
   private countUsage(exchange: EndpointExchange): void {
     if (this.isUsageCounted) return;
     this.isUsageCounted = true;
@@ -202,7 +202,7 @@
         return;
       case 'try_again':
         if (outcome.kind === 'answered') this.failedAnswer = outcome.answer;
-        // A hedge that is still out takes the place of the next attempt.
+        // An attempt that is still pending takes the place of a retry.
         if (this.pending.size === 0) this.attempt();
         return;
       case 'refuse':
@@ -219,7 +219,7 @@
     else this.fail('no other endpoint is usable');
   }
 
-  /** Requests like this one crash endpoints: none is tried any more. */
+  /** Settles without a further attempt, because the request is quarantined for crashing endpoints. */
   private settleQuarantined(): void {
     if (this.pending.size > 0) return;
     const error = this.guard.refuse();
@@ -245,7 +245,7 @@
   }
 
   private expire(): void {
-    // A request that never left may be refused; one that did may have run.
+    // A request that was never sent can be refused as unreachable; one that was sent may have run.
     const kind =
       this.ranCount === 0 ? 'deadline_unreachable' : 'deadline_passed';
     this.settle({kind: 'failed', error: createError(kind)});
@@ -283,7 +283,7 @@
   }
 }
 
-/** Whether an endpoint may have begun the request, which is then taken for begun. */
+/** Whether an endpoint may have started the request; usage counts it as started. */
 function mayHaveRun({kind}: ExchangeOutcome): boolean {
   return kind === 'answered' || kind === 'unknown';
 }
--- a/packages/daemon/src/gateway/requests/front_server.ts
+++ b/packages/daemon/src/gateway/requests/front_server.ts
@@ -1,6 +1,6 @@
 /**
- * The listener towards callers: reads requests whole, finds the rule that
- * decides each of them and hands it to the batch API or the forwarder.
+ * The HTTP server for callers: reads each request completely, finds the route that
+ * matches it and hands it to the batch API or the forwarder.
  */
 
 import http from 'node:http';
@@ -34,23 +34,23 @@
   readonly logger: EventLogger;
 }
 
-/** A request with the rule that decides it and the caller whose it is. */
+/** The route that matches a request and the caller it is accounted to. */
 interface MatchedRequest {
   readonly route: Route;
   readonly caller: Caller;
 }
 
-/** When to come back to a VM that can not tell whether it knows the newest configuration, ms; another one may. */
+/** Retry delay sent while this VM can not tell whether its configuration is current, ms; another VM may accept the retry. */
 const NOT_CURRENT_RETRY_MS = 150;
-/** Limits until the operator's are known. */
+/** Header limit, set when the server is created, before a configuration is known. */
 const DEFAULT_MAX_HEADER_BYTES = 64 * 1024;
-/** Bodies that are held at once over all requests, bytes: an eighth of the smallest VM's memory. */
+/** Further requests are refused while the bodies in memory exceed this, bytes: an eighth of the smallest VM's memory. */
 const MAX_BUFFERED_BYTES = 24 * 1024 * 1024;
-/** A connection is kept a little longer than callers may reuse it, ms. */
+/** Connections stay open this much longer than callers may reuse them, ms. */
 const IDLE_SLACK_MS = 1000;
-/** Used where a caller states no deadline and the route no time-out, ms. */
+/** Time-out if neither the caller nor the route sets one, ms. */
 const DEFAULT_TIMEOUT_MS = 10_000;
-/** The answer leaves this long before the caller stops waiting, ms. */
+/** The answer is sent this long before the caller stops waiting, ms. */
 const ANSWER_MARGIN_MS = 5;
 
 export class FrontServer {
@@ -64,7 +64,7 @@
     this.server = http.createServer(
       {
         maxHeaderSize: DEFAULT_MAX_HEADER_BYTES,
-        // Requests differ in time allowed; each is bounded by its own deadline.
+        // Disabled, since each request is bounded by its own deadline.
         requestTimeout: 0,
       },
       (req, res) => void this.serve(req, res),
@@ -76,7 +76,7 @@
     return listenAt(this.server, address);
   }
 
-  /** Takes over the operator's limits; called on each new configuration. */
+  /** Applies the operator's limits; called on each new configuration. */
   applyLimits(): void {
     const limits = this.deps.config.table?.cfg.limits;
     if (!limits) return;
@@ -85,12 +85,12 @@
       limits.headerTimeoutMs + limits.idleTimeoutMs + IDLE_SLACK_MS;
   }
 
-  /** Tells callers on kept connections to leave with their next answer. */
+  /** Closes each kept-alive connection with its next answer. */
   startDrain(): void {
     this.isDraining = true;
   }
 
-  /** Stops listening and closes idle connections; resolves when no request is left. */
+  /** Stops listening and closes idle connections; resolves when no request is active. */
   finish(): Promise<void> {
     this.server.close();
     this.server.closeIdleConnections();
@@ -117,7 +117,7 @@
     try {
       await this.dispatch(req, res, receivedMs);
     } catch (err) {
-      // A fault of ours: what it did to the request is not known.
+      // An internal fault: whether the request was executed is unknown.
       const detail =
         err instanceof Error ? (err.stack ?? err.message) : 'unknown';
       this.deps.logger.log('error', 'request failed inside', {
@@ -143,8 +143,8 @@
     }
     if (call.value.kind !== 'request') {
       req.resume();
-      // What was submitted by a public rule needs no key later either; whose
-      // batch it is, the batch itself tells.
+      // A batch submitted through a public route needs no key for later calls
+      // either; the batch API checks which account owns it.
       const isKeyless = protocol.readKey(req.headers) === undefined;
       const admitted = await this.admit(req, isKeyless);
       if (!admitted.ok) return this.refuse(req, res, admitted.error);
@@ -176,7 +176,7 @@
     }
   }
 
-  /** The rule that decides; that there is none is said only by a VM that has read the newest configuration. */
+  /** Finds the matching route; answers that there is none only if this VM's configuration is confirmed to be current. */
   private async findRoute(host: string, path: string): Promise<Result<Route>> {
     const {config} = this.deps;
     const match = config.table?.match(host, path);
@@ -216,7 +216,7 @@
   ): Promise<Buffer | undefined> {
     if (this.bufferedBytes > MAX_BUFFERED_BYTES) {
       req.resume();
-      const detail = 'too many bodies are held';
+      const detail = 'too many request bodies are buffered';
       this.refuse(
         req,
         res,
--- a/packages/daemon/src/gateway/requests/key_fingerprint.ts
+++ b/packages/daemon/src/gateway/requests/key_fingerprint.ts
@@ -1,11 +1,11 @@
-/** Names a caller's key in logs without telling it. */
+/** Identifies a caller's key in logs without revealing it. */
 
 import {createHash} from 'node:crypto';
 
-/** Hexadecimal digits kept: enough to tell the keys of a deployment apart, too few to find one. */
+/** Hexadecimal digits of the hash: enough to tell the keys of a deployment apart, too few to recover one. */
 const FINGERPRINT_DIGITS = 8;
 
-/** A short text that is the same for the same key; undefined for none. */
+/** Returns a short hash of `key`, or undefined if there is no key. */
 export function fingerprintKey(key: string | undefined): string | undefined {
   if (key === undefined) return undefined;
   return createHash('sha256')
--- a/packages/daemon/src/gateway/requests/quarantine_guard.ts
+++ b/packages/daemon/src/gateway/requests/quarantine_guard.ts
@@ -1,4 +1,4 @@
-/** Keeps one request of a caller from endpoints while requests like it crash them. */
+/** Keeps one caller's request away from endpoints while requests with its fingerprint are quarantined for crashing them. */
 
 import type {EndpointEntry} from '@radishyoke/core/fleet/endpoint_entry';
 import {createError, type RadishyokeError} from '@radishyoke/shared/error_kind';
@@ -24,12 +24,12 @@
     return this.deps.crashes.isQuarantined(this.getFingerprint);
   }
 
-  /** Whether requests like this one were beside a crash before. */
+  /** Whether a request with this fingerprint was in flight on an endpoint when it crashed. */
   get isSuspected(): boolean {
     return this.deps.crashes.isSuspected(this.getFingerprint);
   }
 
-  /** Whether the request may go to the endpoint: a suspect only to one that is there. */
+  /** Whether the request may be sent to the endpoint: a suspected request only goes to an endpoint that is reachable. */
   maySendTo(entry: EndpointEntry): Promise<boolean> {
     return this.deps.crashes.maySendTo(entry, this.getFingerprint);
   }
@@ -38,12 +38,12 @@
     return this.deps.crashes.recordStart(entry, this.getFingerprint);
   }
 
-  /** A suspect's broken connection is judged before it goes to another endpoint. */
+  /** Makes a suspected request wait until it is known whether the endpoint crashed, before it is sent to another one. */
   async waitForCrashCheck({id}: EndpointEntry): Promise<void> {
     if (this.isSuspected) await this.deps.crashes.waitForCheck(id);
   }
 
-  /** The error for a request that is held back. */
+  /** Logs and counts a refusal of the quarantined request and returns its error. */
   refuse(): RadishyokeError {
     const {crashes, logger, metrics} = this.deps;
     const {attemptId: requestId, route, configVersion} = this.req;
--- a/packages/daemon/src/gateway/requests/request_fingerprints.ts
+++ b/packages/daemon/src/gateway/requests/request_fingerprints.ts
@@ -1,4 +1,4 @@
-/** Fingerprints of what goes to endpoints: callers' requests, items of batches and reward calls. */
+/** Fingerprints of everything sent to endpoints: forwarded requests, batch items and reward calls. */
 
 import type {Caller} from '@radishyoke/core/accounts/client_account';
 import type {Job} from '@radishyoke/core/batches/batch_job';
@@ -12,7 +12,7 @@
 } from '@radishyoke/core/crashes/request_fingerprint';
 import type {ForwardRequest} from './forward_request.js';
 
-/** Items and reward calls are sent with this method. */
+/** HTTP method of batch items and reward calls. */
 const BATCH_METHOD = 'POST';
 
 export function fingerprintForwardRequest(req: ForwardRequest): string {
@@ -34,7 +34,7 @@
   return fingerprintBatchCall(batch.batch, reward);
 }
 
-/** What is sent for a batch is asked in the name of its account. */
+/** Fingerprints a call that is sent on behalf of the batch's client account. */
 function fingerprintBatchCall(
   {account}: BatchHeader,
   {host, path, body}: Pick<RequestContent, 'host' | 'path' | 'body'>,
--- a/packages/daemon/src/gateway/requests/stream_call.ts
+++ b/packages/daemon/src/gateway/requests/stream_call.ts
@@ -1,9 +1,9 @@
 /**
- * Passes one request whose answer is a series of events on to endpoints. Events
- * reach the caller as they arrive. Where the rule says that a stream may be
- * resumed, one that breaks off goes on at another endpoint within the same
- * answer, which keeps the head of the first; any other is broken off towards
- * the caller too, so that it never looks complete.
+ * Forwards a request whose answer is a stream of events, and sends each event to the
+ * caller as it arrives. If the route allows resuming, a stream that ends early continues
+ * at another endpoint within the same answer, which keeps the head of the first endpoint.
+ * Otherwise the caller's connection is broken as well, so that a partial stream never
+ * looks complete.
  */
 
 import type {ServerResponse} from 'node:http';
@@ -34,20 +34,20 @@
 import type {ForwarderDeps, ForwardRequest} from './forward_request.js';
 import {QuarantineGuard} from './quarantine_guard.js';
 
-/** What became of a stream. */
+/** How a stream ended for the caller. */
 export type StreamResult =
-  /** The caller has all events. */
+  /** All events were sent to the caller. */
   | {readonly kind: 'whole'}
-  /** Nothing was sent to the caller yet; it gets this answer. */
+  /** Nothing was sent to the caller yet; it receives this answer. */
   | {readonly kind: 'answered'; readonly answer: EndpointAnswer}
-  /** The caller gets this error, or a broken connection where events went out. */
+  /** The caller receives this error, or a broken connection if events were already sent. */
   | {readonly kind: 'failed'; readonly error: RadishyokeError};
 
-/** A stream that may be resumed and is silent for this long goes on elsewhere, ms: callers give up after 2,000, and the longest load of weights that engines were seen to take is about 900. */
+/** A resumable stream without an event for this long continues at another endpoint, ms: callers give up after 2,000 ms, and engines were seen to take up to about 900 ms to load weights. */
 const STALL_MS = 1500;
-/** The endpoint gets this much less than is left, ms. */
+/** Subtracted from the remaining time to get an endpoint's deadline, ms, since its answer has to travel back. */
 const RETURN_TRIP_MS = 4;
-/** When to come back after nothing could take the request, ms: about as long as the list of endpoints lags. */
+/** Retry delay sent to a caller whose request no endpoint could take, ms: about as long as the list of endpoints lags behind. */
 const RETRY_AFTER_MS = 150;
 
 export class StreamCall implements StreamReader {
@@ -58,7 +58,7 @@
   private stream: EndpointStream | undefined;
   private watchedRequest: WatchedRequest | undefined;
   private stallTimer: NodeJS.Timeout | undefined;
-  /** Head of the first endpoint's answer. */
+  /** Headers of the first endpoint's answer. */
   private firstRawHeaders: readonly string[] | undefined;
   private lastEventId: number | undefined;
   private ranCount = 0;
@@ -83,7 +83,7 @@
     this.guard = new QuarantineGuard(deps, req);
   }
 
-  /** Runs until the caller has its answer; never rejects. */
+  /** Runs until the stream has ended for the caller; never rejects. */
   async run(): Promise<StreamResult> {
     const remainingMs = Math.max(this.measureRemainingMs(), 0);
     const deadline = setTimeout(() => this.expire(), remainingMs);
@@ -94,9 +94,9 @@
     return result;
   }
 
-  /** The caller has gone: the endpoint is told by the end of its connection. */
+  /** Stops because the caller disconnected; the endpoint sees its connection close. */
   abandon(): void {
-    this.stop('the caller has gone');
+    this.stop('the caller disconnected');
   }
 
   onHead(rawHeaders: readonly string[]): void {
@@ -120,7 +120,7 @@
     return true;
   }
 
-  /** A stream counts in usage from its first event, at whichever endpoint that was made. */
+  /** Counts the stream once in usage, at the time of its first event from any endpoint. */
   private countUsage(): void {
     if (this.isUsageCounted) return;
     this.isUsageCounted = true;
@@ -196,7 +196,7 @@
     return outcome;
   }
 
-  /** The result, or undefined where another attempt follows. */
+  /** Returns the result, or undefined if another attempt follows. */
   private handleOutcome(outcome: StreamOutcome): StreamResult | undefined {
     if (outcome.kind === 'whole') {
       this.sendHead();
@@ -223,7 +223,7 @@
     }
   }
 
-  /** The head goes out with the first event: until then a failure can still be told as such. */
+  /** Sends the head, once, with the first event: until then a failure can still be answered with its own status. */
   private sendHead(): void {
     if (this.res.headersSent) return;
     this.res.statusCode = 200;
@@ -231,7 +231,7 @@
     this.res.flushHeaders();
   }
 
-  /** A connection can go silent for good; of a stream that may not be resumed silence is no reason to end it. */
+  /** Restarts the timer that detects connections that went silent. Streams that can not be resumed are not ended for silence. */
   private restartStallTimer(): void {
     clearTimeout(this.stallTimer);
     if (!this.terms.isRepeatable) return;
@@ -253,7 +253,7 @@
     return this.req.deadlineMs - performance.now();
   }
 
-  /** Requests like this one crash endpoints: none is tried any more. */
+  /** Returns the result without a further attempt, because the request is quarantined for crashing endpoints. */
   private refuseQuarantined(): StreamResult {
     const error = this.guard.refuse();
     const hasRun = this.ranCount > 0 || this.res.headersSent;
@@ -261,7 +261,7 @@
   }
 
   private refuse(): StreamResult {
-    // Part of the answer is out: what is left of it has no status of its own.
+    // The head was already sent, so a refusal can no longer be answered with its own status.
     if (this.res.headersSent) return this.fail();
     const extra = {retryAfterMs: RETRY_AFTER_MS};
     const error = createError('no_endpoint', 'endpoints are full', extra);
--- a/packages/daemon/src/gateway/store/__tests__/config_holder.spec.ts
+++ b/packages/daemon/src/gateway/store/__tests__/config_holder.spec.ts
@@ -4,10 +4,9 @@
 import type {Configuration} from '@radishyoke/core/routing/route_table';
 import {ConfigHolder, type ConfigSource} from '../config_holder.js';
 
-// Callers meet rules again that they have seen replaced.
-// 1. A VM reads a new version and serves by it.
-// 2. After a reconnect the log returns what it held a moment before.
-test('the version in force never goes back, in whatever order versions are read', t => {
+// Guards against routes that reappear after they were replaced: after a reconnect the log
+// can return an older version than the one a VM already applied.
+test('the current version never decreases, whatever the order in which versions are read', t => {
   fc.assert(
     fc.property(fc.array(fc.integer({min: 1, max: 30})), versions => {
       const holder = new ConfigHolder(silentLogger);
@@ -38,7 +37,7 @@
   );
 });
 
-/** A version of a configuration in which `key` belongs to an account, if one is given. */
+/** Creates a configuration in which `key`, if given, belongs to an account. */
 function createConfig(version: number, key?: string): Configuration {
   const accounts = key === undefined ? [] : [{name: 'alpha', keys: [key]}];
   const limits = {
@@ -50,7 +49,7 @@
   return {version, routes: [], services: [], limits, accounts};
 }
 
-/** A log that answers as told, and says how often it was asked. */
+/** Creates a source with fixed answers that counts its reads. */
 function createSource(isReadable: boolean, silenceMs = 0) {
   const calls = {count: 0};
   const source: ConfigSource = {
@@ -60,10 +59,10 @@
     },
     measureSilenceMs: () => silenceMs,
   };
-  return {source, calls: calls};
+  return {source, calls};
 }
 
-test('guards against a refusal for good by a VM that has not read the version with the key', async t => {
+test('a key in a version that was not read yet is admitted', async t => {
   const holder = new ConfigHolder(silentLogger);
   holder.offer(createConfig(1));
   holder.attach({
@@ -74,7 +73,7 @@
   t.like(admission, {kind: 'admitted', caller: {name: 'alpha'}});
 });
 
-test('guards against a refusal for good while the log can not be read', async t => {
+test('an unknown key is not refused while the log can not be read', async t => {
   const holder = new ConfigHolder(silentLogger);
   holder.offer(createConfig(1, 'known'));
   holder.attach(createSource(false, 60_000).source);
@@ -83,7 +82,7 @@
   t.false(await holder.isComplete());
 });
 
-test('guards against a key that is served on for longer than the operator allows', async t => {
+test('a key is not admitted for longer than maxKeyAgeMs without contact to the log', async t => {
   const holder = new ConfigHolder(silentLogger, 5000);
   holder.offer(createConfig(1, 'known'));
   const {source, calls} = createSource(false, 5001);
@@ -94,7 +93,7 @@
   t.is((await holder.admit('known', false)).kind, 'admitted');
 });
 
-test('a key that is known is admitted without a question to the log', async t => {
+test('a known key is admitted without reading the log', async t => {
   const holder = new ConfigHolder(silentLogger);
   holder.offer(createConfig(1, 'known'));
   const {source, calls} = createSource(true);
@@ -110,7 +109,7 @@
   t.is((await holder.admit('key', false)).kind, 'uncertain');
 });
 
-test('guards against a caller that is held while the log is silent', async t => {
+test('a caller does not wait for a log that does not answer', async t => {
   const holder = new ConfigHolder(silentLogger);
   holder.offer(createConfig(1, 'known'));
   holder.attach({
--- a/packages/daemon/src/gateway/store/__tests__/keyed_feed.spec.ts
+++ b/packages/daemon/src/gateway/store/__tests__/keyed_feed.spec.ts
@@ -6,7 +6,7 @@
 import type {KeyedReadOutcome} from '../log_store.js';
 import {createKeyed, MemoryStore} from '../../__tests__/gateway_fixtures.js';
 
-/** A feed that tells what it hears as text. */
+/** Creates a feed that emits its events as text. */
 function createFeed(
   store: MemoryStore,
   emit: (text: string) => void,
@@ -26,7 +26,7 @@
   );
 }
 
-/** Runs a feed until it has told `last`, and returns all that it told. */
+/** Runs a feed until it emits `last`, and returns all emitted texts. */
 async function follow(
   store: MemoryStore,
   last: string,
@@ -47,17 +47,15 @@
   return {kind: 'page', records, endOffset};
 }
 
-test('the newest records come first, then what follows them', async t => {
+test('the newest records are read first, then the later ones', async t => {
   const store = new MemoryStore();
   store.newestReads.push(createPage([createKeyed('a', 3, 'x')], 4));
   store.keyedReads.push(createPage([createKeyed('a', 4, 'y')], 5));
   t.deepEqual(await follow(store, 'a=y@4'), ['a=x@3', 'caught up', 'a=y@4']);
 });
 
-// Work goes to endpoints that left while history was dropped.
-// 1. A reader falls behind; the records it would go on from are gone.
-// 2. A key was removed meanwhile: no record of the removal is left.
-// Cause: reading anew tells what is there, not what went.
+// Guards against work sent to endpoints that left while history was dropped: a reader that
+// fell behind starts again with a snapshot, which has no record of removed keys.
 test('keys that are missing after history was dropped are removed', async t => {
   const store = new MemoryStore();
   store.newestReads.push(
@@ -73,10 +71,9 @@
   ]);
 });
 
-// A VM goes back to a configuration that was replaced.
-// 1. It has read to offset 50; history is dropped and it reads anew.
-// 2. That read lags behind and ends at 40.
-test('newest records that are older than what was read are not taken', async t => {
+// Guards against a VM that returns to a replaced configuration: it has read to offset 50,
+// history is dropped, and the snapshot it then reads lags behind and ends at 40.
+test('a snapshot that is older than records already read is rejected', async t => {
   const store = new MemoryStore();
   store.newestReads.push(
     createPage([createKeyed('a', 49, 'new')], 50),
@@ -88,7 +85,7 @@
   t.true(events.includes('lost'));
 });
 
-test('guards against a removal that is undone by a slower read of what came before it', async t => {
+test('a removal is not undone by a slower read of earlier records', async t => {
   const store = new MemoryStore();
   const feed = createFeed(store, () => undefined);
   const events: string[] = [];
@@ -107,7 +104,7 @@
   t.false(await feed.catchUp());
 });
 
-test('calls that want to catch up at once share one read', async t => {
+test('concurrent calls to catch up share one read', async t => {
   const store = new MemoryStore();
   const feed = createFeed(store, () => undefined);
   store.keyedReads.push(createPage([createKeyed('a', 0, 'x')], 1));
@@ -117,7 +114,7 @@
   ]);
 });
 
-test('guards against callers with wrong keys that use up the calls of the log', async t => {
+test('callers with wrong keys can not overload the log', async t => {
   const store = new MemoryStore();
   const feed = createFeed(store, () => undefined);
   store.keyedReads.push(createPage([], 0), createPage([], 0));
@@ -129,7 +126,7 @@
   t.is(store.keyedReads.length, 0);
 });
 
-test('a failed read is told and tried again', async t => {
+test('a failed read is reported and retried', async t => {
   const store = new MemoryStore();
   store.keyedReads.push(
     {kind: 'failed', error: createError('log_unavailable')},
--- a/packages/daemon/src/gateway/store/__tests__/roster_change_logger.spec.ts
+++ b/packages/daemon/src/gateway/store/__tests__/roster_change_logger.spec.ts
@@ -18,7 +18,7 @@
   };
 }
 
-test('a few changes have a line each, at the end of the reading', t => {
+test('a few changes have a line each when the read ends', t => {
   const {log, lines, note} = createLog();
   note('joined', 1);
   note('left', 2);
@@ -32,10 +32,9 @@
   );
 });
 
-// What happened can not be found among what every VM says of every endpoint.
-// 1. All endpoints register as a deployment starts, or leave together.
-// 2. Each of hundreds of VMs wrote a line for each of them.
-test('many changes at once share a line that names some', t => {
+// Guards against logs flooded by hundreds of VMs that each write a line per endpoint when
+// all endpoints join at the start of a deployment or leave together.
+test('many changes at once share one line', t => {
   const {log, lines, note} = createLog();
   for (let i = 0; i < 40; i++) note('joined', i);
   note('left', 50);
--- a/packages/daemon/src/gateway/store/config_holder.ts
+++ b/packages/daemon/src/gateway/store/config_holder.ts
@@ -1,4 +1,4 @@
-/** The newest configuration that this VM has seen, and how far that can be relied on. */
+/** Holds the newest configuration that this VM has read, and decides whether it is current enough to rely on. */
 
 import type {AdmissionQuery} from '@radishyoke/core/accounts/account_directory';
 import type {
@@ -13,12 +13,12 @@
 import {setTimeout as sleep} from 'node:timers/promises';
 import type {EventLogger} from '../../logger.js';
 
-/** A caller waits no longer for the log to say whether its key or rule is new, ms; it is then told to come back. */
+/** Longest time that a caller waits while the log is read for its unknown key or route, ms; after that it is asked to retry. */
 const CATCH_UP_TIMEOUT_MS = 200;
 
-/** How a holder learns whether it has missed a version. */
+/** Source that keeps a holder up to date. */
 export interface ConfigSource {
-  /** Reads all versions there are now; says whether that succeeded. */
+  /** Reads all versions up to the end of the log; returns whether that succeeded. */
   catchUp(): Promise<boolean>;
   /** Steady ms since the log last answered. */
   measureSilenceMs(): number;
@@ -29,13 +29,13 @@
   private source: ConfigSource | undefined;
   private readonly listeners: Array<(table: RouteTable) => void> = [];
 
-  /** @param maxKeyAgeMs A key is served at most so long after it was last known to hold, ms. */
+  /** @param maxKeyAgeMs Longest time that a key is accepted after the log last answered, ms. */
   constructor(
     private readonly logger: EventLogger,
     private readonly maxKeyAgeMs = Infinity,
   ) {}
 
-  /** Names what keeps this holder up to date; until then it is taken to be. */
+  /** Sets the source that keeps this holder up to date; without one the configuration counts as current. */
   attach(source: ConfigSource): void {
     this.source = source;
   }
@@ -44,15 +44,15 @@
     return this.current;
   }
 
-  /** 0 until a configuration is known. */
+  /** Version of the configuration; 0 until one is known. */
   get version(): number {
     return this.current?.cfg.version ?? 0;
   }
 
   /**
-   * Decides whose request it is, by `key`. A key that is not known may stand in
-   * a version that was not read yet, so the log is asked before a refusal, which
-   * is final for a caller.
+   * Determines by `key` which caller a request belongs to. An unknown key may be in a
+   * version that was not read yet, so the log is read before the request is refused,
+   * because a refusal is final for the caller.
    */
   async admit(key: string | undefined, isPublic: boolean): Promise<Admission> {
     if (!this.current) return {kind: 'uncertain'};
@@ -66,12 +66,12 @@
     return this.decide({key, isPublic, freshness: knowledge});
   }
 
-  /** Whether what is not in `table` is nowhere: asks the log. */
+  /** Reads the log and returns whether `table` is now known to be the newest version. */
   async isComplete(): Promise<boolean> {
     return (await this.catchUp()) === 'current';
   }
 
-  /** In whose name work goes on that was accepted for the account, if for any. */
+  /** Returns the caller for work that was accepted earlier, for the account if it had one. */
   describeOwner(account: string | undefined): Caller {
     if (account !== undefined) return {kind: 'account', name: account};
     return this.current?.accounts.describeOwner(account) ?? {kind: 'unchecked'};
@@ -100,11 +100,11 @@
   }
 
   /**
-   * Takes `cfg` if it is newer than what is in force.
+   * Applies `cfg` if it is newer than the current configuration; returns whether it was.
    *
-   * A read of the log may lag behind an earlier one, after a reconnect or while
-   * history is being dropped. It shows as an older version behind a newer one;
-   * taking it would bring back rules that callers have seen replaced.
+   * After a reconnect, or while the log drops history, a read may return older records
+   * than an earlier read did. Applying an older version would bring back routes that
+   * callers have already seen replaced.
    */
   offer(cfg: Configuration): boolean {
     if (cfg.version <= this.version) return false;
--- a/packages/daemon/src/gateway/store/keyed_feed.ts
+++ b/packages/daemon/src/gateway/store/keyed_feed.ts
@@ -1,7 +1,7 @@
 /**
- * Follows a keyed topic: first the newest record of each key, then every record
- * after it. When the history it would go on from is gone it starts anew from the
- * newest records; a key that is no longer among them was removed meanwhile.
+ * Follows a keyed topic: reads the newest record of each key first, and then every later
+ * record. If the log has dropped the records to continue from, the feed starts again with
+ * the newest records; a key that is missing among them was removed in the meantime.
  */
 
 import {setTimeout as sleep} from 'node:timers/promises';
@@ -10,15 +10,15 @@
 
 export interface FeedConfig {
   readonly topic: string;
-  /** How long the log may wait for news, ms. */
+  /** Longest time that a read waits at the log for new records, ms. */
   readonly waitMs: number;
-  /** Pause after news before asking again, ms: gathers what comes in bursts. */
+  /** Pause between new records and the next read, ms, so that bursts are read together. */
   readonly gatherMs: number;
 }
 
 export interface FeedEvents {
   onRecord(record: KeyedRecord): void;
-  /** The feed has read all there was; once after each start. */
+  /** All records of a snapshot were handed over; called after each start or restart. */
   onCaughtUp(): void;
   onContact(): void;
   /** All records of one read were handed over. */
@@ -26,13 +26,13 @@
   onLost(detail: string): void;
 }
 
-/** First pause after a failed read, ms; doubles up to the next. Short, since a VM out of touch serves on old knowledge. */
+/** First pause after a failed read, ms; doubles up to `MAX_RETRY_MS`. Short, because a VM that can not read the topic serves from outdated records. */
 const FIRST_RETRY_MS = 50;
 const MAX_RETRY_MS = 400;
-/** Least time between two reads to catch up, ms: callers with wrong keys must not use up the log's calls. */
+/** Least time between two reads to catch up, ms, so that callers with wrong keys can not overload the log. */
 const CATCH_UP_PAUSE_MS = 50;
 
-/** What one read brought. */
+/** Result of one read by the feed. */
 type FeedStep = 'news' | 'quiet' | 'expired' | 'failed';
 
 export class KeyedFeed {
@@ -41,7 +41,7 @@
   private readonly abort = new AbortController();
   private isFailing = false;
   private lastContactMs = -Infinity;
-  /** Steady ms of the last read to catch up. */
+  /** Steady ms at which the last read to catch up began. */
   private lastCatchUpMs = -Infinity;
   private pendingCatchUp: Promise<boolean> | undefined;
 
@@ -75,7 +75,7 @@
     this.abort.abort();
   }
 
-  /** Reads what there is now beside the feed's own reads; says whether that succeeded. Calls that come meanwhile share one read. */
+  /** Reads to the end of the topic, in addition to the feed's own reads; returns whether that succeeded. Concurrent calls share one read. */
   catchUp(): Promise<boolean> {
     this.pendingCatchUp ??= this.readThrottled().finally(
       () => (this.pendingCatchUp = undefined),
@@ -103,7 +103,7 @@
         waitMs: 0,
         signal,
       });
-      // The feed itself starts anew where history is gone.
+      // If history is gone, `run` starts again with a snapshot.
       if (outcome.kind !== 'page') return false;
       this.applyNew(outcome.records);
       this.onSuccess();
@@ -125,9 +125,9 @@
       );
       return 'failed';
     }
-    // A read that lags behind would bring back what has been left behind.
+    // A snapshot that lags behind would bring back records that were replaced.
     if (outcome.endOffset < this.nextOffset) {
-      this.onFailure('the newest records are older than what was read');
+      this.onFailure('the snapshot is older than records already read');
       return 'failed';
     }
     const present = new Set(outcome.records.map(({key}) => key));
@@ -168,7 +168,7 @@
     return outcome.records.length > 0 ? 'news' : 'quiet';
   }
 
-  /** Takes what another read did not bring meanwhile: of two reads at once the later may end first. */
+  /** Applies only records that a concurrent read has not applied already: of two reads the later may finish first. */
   private applyNew(records: readonly KeyedRecord[]): void {
     for (const record of records) {
       if (record.offset >= this.nextOffset) this.apply(record);
@@ -210,7 +210,7 @@
     try {
       await sleep(ms, undefined, {signal: this.abort.signal});
     } catch {
-      // Woken early by `stop`; the loop sees it.
+      // Interrupted by `stop`, which the loop checks.
     }
   }
 }
--- a/packages/daemon/src/gateway/store/log_store.ts
+++ b/packages/daemon/src/gateway/store/log_store.ts
@@ -1,28 +1,28 @@
 /**
- * The platform's partitioned log as the gateway uses it. What an append that
- * got no answer did is never guessed: it is `unknown` until the log is read.
+ * The platform's partitioned log as the gateway uses it. The outcome of an append without
+ * an answer is never guessed: it is `unknown` until the log is read.
  */
 
 import type {RadishyokeError} from '@radishyoke/shared/error_kind';
 
-/** What became of an append. */
+/** Outcome of an append. */
 export type AppendOutcome =
-  /** All records stand, the first at `offset`. */
+  /** All records are stored, the first at `offset`. */
   | {readonly kind: 'appended'; readonly offset: number}
-  /** Nothing stands and nothing will: the partition ends elsewhere. */
+  /** Nothing is stored or will be, because the partition ends at another offset than expected. */
   | {readonly kind: 'conflict'; readonly endOffset: number}
-  /** Nothing stands and nothing will. */
+  /** Nothing is stored or will be. */
   | {readonly kind: 'refused'; readonly error: RadishyokeError}
-  /** The records may stand, now or seconds from now. */
+  /** The records may be stored, now or seconds later. */
   | {readonly kind: 'unknown'; readonly error: RadishyokeError};
 
-/** One record with its place in its partition. */
+/** A record with its offset in its partition. */
 export interface StoredRecord {
   readonly offset: number;
   readonly bytes: Uint8Array;
 }
 
-/** What a read returned. */
+/** Outcome of a read. */
 export type ReadOutcome =
   | {
       readonly kind: 'page';
@@ -31,18 +31,18 @@
       readonly endOffset: number;
       readonly firstOffset: number;
     }
-  /** Retention has dropped what was asked for. */
+  /** Retention has dropped the requested records. */
   | {readonly kind: 'expired'; readonly firstOffset: number}
   | {readonly kind: 'failed'; readonly error: RadishyokeError};
 
-/** A record of a keyed topic; without a value the key is removed. */
+/** A record of a keyed topic; one without a value removes the key. */
 export interface KeyedRecord {
   readonly key: string;
   readonly value: Uint8Array | undefined;
   readonly offset: number;
 }
 
-/** A keyed record to be written; without a value the key is removed. */
+/** A keyed record to be written; one without a value removes the key. */
 export interface NewKeyedRecord {
   readonly key: string;
   readonly value?: Uint8Array;
@@ -61,29 +61,29 @@
 export interface AppendOptions {
   /** The append fails unless the partition ends at this offset. */
   readonly expectedEndOffset?: number;
-  /** Without an answer for this long its outcome is unknown, ms. */
+  /** The outcome is unknown if no answer arrives within this time, ms. */
   readonly timeoutMs?: number;
 }
 
 /** Options of one read. */
 export interface ReadOptions {
-  /** How long the log may wait for a first record, ms. */
+  /** Longest time that the log waits for a first record, ms. */
   readonly waitMs: number;
-  /** About how much to return at most; one record comes in any case. */
+  /** Approximate limit of the returned bytes; at least one record is returned regardless. */
   readonly maxBytes?: number;
   readonly signal?: AbortSignal;
 }
 
-/** One connection pool to the platform's log. */
+/** Client of the platform's log. */
 export abstract class LogStore {
-  /** Partitions of each topic. */
+  /** Number of partitions of each topic. */
   abstract readonly partitions: number;
-  /** Most bytes of one record. */
+  /** Largest size of one record, bytes. */
   abstract readonly maxRecordBytes: number;
-  /** Most bytes of one append. */
+  /** Largest size of one append, bytes. */
   abstract readonly maxAppendBytes: number;
 
-  /** Appends all of `records` or none. */
+  /** Appends either all of `records` or none. */
   abstract append(
     topic: string,
     partition: number,
@@ -91,7 +91,7 @@
     options?: AppendOptions,
   ): Promise<AppendOutcome>;
 
-  /** Appends all of `records` to a keyed topic or none. */
+  /** Appends either all of `records` to a keyed topic or none. */
   abstract appendKeyed(
     topic: string,
     records: readonly NewKeyedRecord[],
@@ -112,12 +112,12 @@
   ): Promise<KeyedReadOutcome>;
 
   /**
-   * The newest record of each key. Pages are not a snapshot: records from the
-   * returned `endOffset` on must be read after it.
+   * Reads the newest record of each key. The result is not an atomic snapshot: records
+   * from the returned `endOffset` on must be read afterwards.
    */
   abstract readNewest(topic: string): Promise<KeyedReadOutcome>;
 
-  /** Lets the log drop the records of a partition before `offset`. */
+  /** Allows the log to drop the records of a partition before `offset`. */
   abstract trim(
     topic: string,
     partition: number,
--- a/packages/daemon/src/gateway/store/log_tail.ts
+++ b/packages/daemon/src/gateway/store/log_tail.ts
@@ -1,4 +1,4 @@
-/** Reads one partition of the log from where it was last read to its end. */
+/** Reads one partition of the log incrementally, each time from the last position to the end. */
 
 import type {EventLogger} from '../../logger.js';
 import type {LogStore, StoredRecord} from './log_store.js';
@@ -13,12 +13,12 @@
     private readonly logger: EventLogger,
   ) {}
 
-  /** Offset of the record that is read next. */
+  /** Offset of the next record to read. */
   get nextOffset(): number {
     return this.position;
   }
 
-  /** A record that can not be read would otherwise stop each VM that reads it. */
+  /** Skips a record that can not be read, which would otherwise stop every VM that reads it. */
   private handleRecord(
     record: StoredRecord,
     onRecord: (record: StoredRecord) => void,
@@ -34,7 +34,7 @@
     }
   }
 
-  /** Hands over all records that were not read yet; says whether the end was reached. */
+  /** Passes all new records to `onRecord`; returns whether the end was reached. */
   async read(onRecord: (record: StoredRecord) => void): Promise<boolean> {
     for (;;) {
       const {store, topic, partition} = this;
--- a/packages/daemon/src/gateway/store/metered_store.ts
+++ b/packages/daemon/src/gateway/store/metered_store.ts
@@ -1,4 +1,4 @@
-/** A log store that counts its calls by outcome and times those that do not wait. */
+/** Wraps a log store and records the outcome and duration of its calls in the metrics. */
 
 import type {GatewayMetrics} from '../gateway_metrics.js';
 import {
@@ -97,7 +97,7 @@
   }
 }
 
-/** A read that waits for records takes as long as none come; its time says nothing of the log. */
+/** Labels reads that wait for records separately, because their duration says nothing about the log's latency. */
 function labelRead(call: string, {waitMs}: ReadOptions): string {
   return waitMs > 0 ? `${call}_waiting` : call;
 }
--- a/packages/daemon/src/gateway/store/platform_directory.ts
+++ b/packages/daemon/src/gateway/store/platform_directory.ts
@@ -1,25 +1,25 @@
-/** What the platform's log says of configuration and endpoints, decoded. */
+/** Topics of the platform's log with configuration and endpoints, and decoders of their records. */
 
 import type {EndpointEntry} from '@radishyoke/core/fleet/endpoint_entry';
 import type {Configuration} from '@radishyoke/core/routing/route_table';
 import type {Result} from '@radishyoke/shared/result';
 
-/** One record of the operators' topic. */
+/** A record of the configuration topic, which operators write. */
 export type ConfigRecord =
   | {readonly kind: 'configuration'; readonly cfg: Configuration}
-  /** A trainer named a new version of a model's weights. */
+  /** A trainer announced a new version of a model's weights. */
   | {
       readonly kind: 'model_version';
       readonly model: string;
       readonly version: number;
     }
-  /** Nothing that concerns this service. */
+  /** A record that does not concern this service. */
   | {readonly kind: 'other'};
 
 export abstract class PlatformDirectory {
   abstract readonly configTopic: string;
   abstract readonly endpointTopic: string;
-  /** Of requests that crash endpoints; this service writes it. */
+  /** Topic of requests that crash endpoints, which this service itself writes. */
   abstract readonly crashTopic: string;
 
   abstract decodeConfigRecord(
@@ -27,7 +27,7 @@
     value: Uint8Array,
   ): Result<ConfigRecord>;
 
-  /** Fails where the entry names no endpoint that can be used. */
+  /** Fails if the record describes no usable endpoint. */
   abstract decodeEndpoint(
     key: string,
     value: Uint8Array,
--- a/packages/daemon/src/gateway/store/roster_change_logger.ts
+++ b/packages/daemon/src/gateway/store/roster_change_logger.ts
@@ -1,7 +1,6 @@
 /**
- * Tells what reading the list of endpoints changed. Every VM sees the same list,
- * so lines about it are as many as VMs times changes: a few changes have a line
- * each, many at once share one.
+ * Logs changes of the list of endpoints. Every VM reads the same list, so the number of log
+ * lines is VMs times changes: a few changes have one line each, many at once share one.
  */
 
 import type {EndpointEntry} from '@radishyoke/core/fleet/endpoint_entry';
@@ -13,13 +12,13 @@
 interface PendingChange {
   readonly change: LoggedChange;
   readonly entry: EndpointEntry;
-  /** Place of the record in the list's history. */
+  /** Offset of the record in the topic of the list. */
   readonly offset: number;
 }
 
-/** Changes of one kind in one reading that still have a line each. */
+/** Up to this many changes of one kind in one read have a line each. */
 const MAX_SINGLE_LINES = 3;
-/** Endpoints that a line for many names. */
+/** Number of endpoint ids in a line about many changes. */
 const MAX_LISTED_ENDPOINTS = 50;
 
 export class RosterChangeLogger {
@@ -27,7 +26,7 @@
 
   constructor(private readonly logger: EventLogger) {}
 
-  /** Takes a change; it is told with the end of the reading that brought it. */
+  /** Records a change, to be logged by `flush`. */
   record(
     change: RosterChange['kind'],
     entry: EndpointEntry,
@@ -36,7 +35,7 @@
     if (change !== 'updated') this.pending.push({change, entry, offset});
   }
 
-  /** A reading has ended. */
+  /** Logs the recorded changes; called after each read of the list. */
   flush(): void {
     const {pending} = this;
     if (pending.length === 0) return;
--- a/packages/daemon/src/gateway/usage/__tests__/usage_fixtures.ts
+++ b/packages/daemon/src/gateway/usage/__tests__/usage_fixtures.ts
@@ -1,4 +1,4 @@
-/** Stand-ins for the platform's API and the lease, as tests of usage need them. */
+/** Fakes of the platform's API and the lease for tests of usage reports. */
 
 import type {UsageReport} from '@radishyoke/core/usage/usage_record';
 import {silentLogger} from '../../../logger.js';
@@ -15,17 +15,17 @@
 export const WINDOW_MS = 5000;
 export const DUE_MS = 10_000;
 
-/** A call as it arrived. */
+/** A call as the API received it. */
 export interface UsageCall {
   readonly report: UsageReport;
   readonly holder: CallCredentials;
 }
 
-/** The platform's API; its next answers can be told, then it accepts all. */
+/** Fake of the platform's API that gives the planned answers first and then accepts everything. */
 export class FakeControlApi extends ControlApi {
   readonly calls: UsageCall[] = [];
   readonly plannedAnswers: ControlAnswer[] = [];
-  /** One line for each window that was told with different counts. */
+  /** One line for each window that was reported with different counts. */
   readonly problems: string[] = [];
   private readonly accepted = new Map<number, string>();
 
@@ -35,7 +35,7 @@
   ): Promise<ControlAnswer> {
     this.calls.push({report, holder});
     const answer = this.plannedAnswers.shift() ?? 'accepted';
-    // What got no answer may have been taken.
+    // A report without an answer may have been accepted.
     if (answer === 'accepted' || answer === 'unknown') this.accept(report);
     return answer;
   }
@@ -54,7 +54,7 @@
   }
 }
 
-/** A clock that a test sets; Unix ms. */
+/** A clock set by the test, in Unix ms. */
 export interface FakeTime {
   nowMs: number;
 }
@@ -65,7 +65,7 @@
   readonly mayCall?: () => boolean;
 }
 
-/** One holder's task, before `store` and `api`. */
+/** Creates the usage task of one lease holder. */
 export function createTask(
   store: LogStore,
   api: ControlApi,
@@ -84,7 +84,7 @@
   });
 }
 
-/** Writes an entry as the VM `writer` does. */
+/** Appends a usage entry as the VM `writer` would. */
 export async function writeCount(
   store: LogStore,
   writer: string,
--- a/packages/daemon/src/gateway/usage/__tests__/usage_meter.spec.ts
+++ b/packages/daemon/src/gateway/usage/__tests__/usage_meter.spec.ts
@@ -24,7 +24,7 @@
   return ledger.sum(window)['alpha'] ?? 0;
 }
 
-test('the first request is written at once, and those right after it together', async t => {
+test('the first request is written at once, and later ones are written together', async t => {
   const store = new MemoryStore();
   const meter = createMeter(store);
   meter.record(ALPHA, 10_000);
@@ -36,7 +36,7 @@
   t.true(store.list(COUNT_TOPIC).length <= 3);
 });
 
-test('guards against a request that counts twice where the log did not answer', async t => {
+test('a request is not counted twice if the log does not answer', async t => {
   const store = new MemoryStore();
   store.appendPlans.push('unknown_but_done', 'unknown', 'refused');
   const meter = createMeter(store);
@@ -45,7 +45,7 @@
   t.is(sum(store, 2), 1);
 });
 
-test('guards against counts that die with a VM that is asked to stop', async t => {
+test('counts are written before a VM that is asked to stop exits', async t => {
   const store = new MemoryStore();
   const meter = createMeter(store);
   meter.record(ALPHA, 10_000);
--- a/packages/daemon/src/gateway/usage/__tests__/usage_task.spec.ts
+++ b/packages/daemon/src/gateway/usage/__tests__/usage_task.spec.ts
@@ -10,12 +10,12 @@
   writeCount,
 } from './usage_fixtures.js';
 
-/** When a window may be decided: well after its end and before its report is due. */
+/** Returns a time at which a window may be decided: well after its end and before its report is due. */
 function settledMs(window: number): number {
   return (window + 1) * WINDOW_MS + DUE_MS * 0.35;
 }
 
-/** A service that began in window 10 and has a holder that knows it. */
+/** Starts a service in window 10 whose lease holder has begun reporting. */
 async function startService() {
   const store = new MemoryStore();
   const api = new FakeControlApi();
@@ -25,7 +25,7 @@
   return {store, api, time, task};
 }
 
-test('a window is told once, with the counts of all VMs, before it is due', async t => {
+test('a window is reported once, with the counts of all VMs, before it is due', async t => {
   const {store, api, time, task} = await startService();
   await writeCount(store, 'a', 0, 10, 2);
   await writeCount(store, 'bb', 0, 10, 3);
@@ -44,7 +44,7 @@
   ]);
 });
 
-test('guards against windows that are left out as they ended before there was a holder', async t => {
+test('windows that ended before there was a lease holder are reported', async t => {
   const store = new MemoryStore();
   const api = new FakeControlApi();
   await writeCount(store, 'a', 0, 8, 2);
@@ -56,7 +56,7 @@
   t.deepEqual(api.windows, [8, 9]);
 });
 
-test('guards against a report that is late as the log went away some seconds after its window', async t => {
+test('a window is decided within a few seconds, in case the log becomes unavailable', async t => {
   const {store, api, time, task} = await startService();
   await writeCount(store, 'a', 0, 10, 2);
   time.nowMs = 11 * WINDOW_MS + 4000;
@@ -64,7 +64,7 @@
   t.deepEqual(api.windows, [10]);
 });
 
-test('guards against a record that can not be read and stops each holder in turn', async t => {
+test('records that can not be read do not stop a lease holder', async t => {
   const {store, api, time, task} = await startService();
   await store.append(COUNT_TOPIC, 0, [Buffer.from([0xc1, 0xff])]);
   await store.append(REPORT_TOPIC, 0, [Buffer.from([0xc1, 0xff])]);
@@ -78,7 +78,7 @@
   );
 });
 
-test('a window without requests is told too', async t => {
+test('a window without requests is reported too', async t => {
   const {api, time, task} = await startService();
   time.nowMs = settledMs(11);
   await task.tick();
@@ -91,14 +91,14 @@
   );
 });
 
-test('guards against a report that differs when it is sent again by a successor', async t => {
+test('a report that a successor sends again is the same', async t => {
   const {store, api, time, task} = await startService();
   await writeCount(store, 'a', 0, 10, 2);
   api.plannedAnswers.push('unknown');
   time.nowMs = settledMs(10);
   await task.tick();
   task.stop();
-  // Counts of a VM that was cut off come after the decision.
+  // Counts of a VM that was disconnected arrive after the decision.
   await writeCount(store, 'bb', 0, 10, 3);
   const successor = createTask(store, api, time, {
     vmName: 'vm-b',
@@ -113,7 +113,7 @@
   t.deepEqual(api.problems, []);
 });
 
-test('guards against two decisions where the log did not answer the first', async t => {
+test('a window is not decided twice if the log did not answer the first decision', async t => {
   const {store, api, time, task} = await startService();
   await writeCount(store, 'a', 0, 10, 2);
   time.nowMs = settledMs(10);
@@ -129,7 +129,7 @@
   );
 });
 
-test('guards against a decision by a holder that has not read those of its successor', async t => {
+test('a holder that has not read the decisions of its successor can not decide', async t => {
   const {store, api, time, task} = await startService();
   await writeCount(store, 'a', 0, 10, 2);
   const successor = createTask(store, api, time, {
@@ -145,7 +145,7 @@
   t.true(kinds >= 3);
 });
 
-test('guards against a second call with a token that the platform refused', async t => {
+test('a fencing token that the platform refused is not used again', async t => {
   const {api, store, time, task} = await startService();
   time.nowMs = settledMs(10);
   api.plannedAnswers.push('fenced');
@@ -161,7 +161,7 @@
   t.deepEqual(api.windows.slice(0, 1), [10]);
 });
 
-test('guards against a call by a holder that may not act', async t => {
+test('a holder that may not act makes no call', async t => {
   const store = new MemoryStore();
   const api = new FakeControlApi();
   const time = {nowMs: 10 * WINDOW_MS};
@@ -176,7 +176,7 @@
   t.is(api.calls.length, 1);
 });
 
-test('windows that the platform was away for are made up in order', async t => {
+test('windows that the platform could not accept are reported later, in order', async t => {
   const {api, time, task} = await startService();
   api.plannedAnswers.push('busy', 'unknown', 'busy');
   for (let i = 0; i < 40; i++) {
@@ -190,7 +190,7 @@
   t.deepEqual(api.problems, []);
 });
 
-/** One step of a random schedule of two holders that both think that they may act. */
+/** One step of a random schedule of two holders that both believe that they may act. */
 type Step =
   | {readonly kind: 'tick'; readonly holder: 0 | 1}
   | {readonly kind: 'time'; readonly ms: number}
@@ -225,7 +225,7 @@
   }),
 );
 
-test('no window is told with two different counts, whatever is lost and whoever acts', async t => {
+test('no window is reported with two different counts, whatever is lost and whoever acts', async t => {
   await fc.assert(
     fc.asyncProperty(fc.array(STEP, {maxLength: 60}), async steps => {
       const store = new MemoryStore();
--- a/packages/daemon/src/gateway/usage/usage_codec.ts
+++ b/packages/daemon/src/gateway/usage/usage_codec.ts
@@ -1,4 +1,4 @@
-/** Bytes of usage records. Written by one VM, read by all. */
+/** Topics and encoding of usage records, which one VM writes and all VMs read. */
 
 import type {
   ReportRecord,
@@ -6,13 +6,13 @@
 } from '@radishyoke/core/usage/usage_record';
 import {Packr} from 'msgpackr';
 
-/** Counts of all VMs, each VM in one partition. */
+/** Usage counts of all VMs; each VM writes to one partition. */
 export const COUNT_TOPIC = 'usage_counts';
-/** Decisions and deliveries, in one partition. */
+/** Decided and delivered reports, in a single partition. */
 export const REPORT_TOPIC = 'usage_reports';
 export const REPORT_PARTITION = 0;
 
-/** Plain maps, so that records of one version of the program can be read by another. */
+/** Packs plain maps, so that other versions of the program can read the records. */
 const packr = new Packr({useRecords: false});
 
 export function encodeUsage(record: UsageEntry | ReportRecord): Uint8Array {
--- a/packages/daemon/src/gateway/usage/usage_meter.ts
+++ b/packages/daemon/src/gateway/usage/usage_meter.ts
@@ -1,6 +1,6 @@
 /**
- * Counts the requests that endpoints began for this VM, and writes the counts
- * down soon after: what was not written dies with the VM.
+ * Counts the requests of this VM that endpoints started, and appends the counts to the log
+ * soon after, because counts that were not written are lost with the VM.
  */
 
 import type {Caller} from '@radishyoke/core/accounts/client_account';
@@ -12,14 +12,14 @@
 import {COUNT_TOPIC, encodeUsage} from './usage_codec.js';
 
 export interface MeterConfig {
-  /** Decides the partition, so that VMs spread over all. */
+  /** Determines the partition, so that VMs are spread over all partitions. */
   readonly vmName: string;
   readonly incarnationId: string;
 }
 
-/** Least time between two writes, ms: a VM with few requests writes each at once, one with many gathers them. */
+/** Least time between two writes, ms: a VM with few requests writes each one at once, a VM with many writes them together. */
 const MIN_WRITE_INTERVAL_MS = 500;
-/** Pause after a failed write, ms; doubles up to the next. */
+/** Pause after a failed write, ms; doubles up to `MAX_RETRY_MS`. */
 const FIRST_RETRY_MS = 100;
 const MAX_RETRY_MS = 800;
 
@@ -41,14 +41,14 @@
     this.partition = Math.floor(fraction * store.partitions);
   }
 
-  /** An endpoint began a request of the caller at `unixMs`. */
+  /** Counts a request of the caller that an endpoint started at `unixMs`. */
   record(caller: Caller, unixMs: number): void {
     if (caller.kind !== 'account') return;
     this.tally.record(caller.name, unixMs);
     this.writing ??= this.writeAll().finally(() => (this.writing = undefined));
   }
 
-  /** Resolves once all that was counted is written down, or `stop` is called. */
+  /** Resolves once all counts are written, or `stop` is called. */
   async finish(): Promise<void> {
     this.lastWriteMs = -Infinity;
     await this.writing;
@@ -70,7 +70,7 @@
     }
   }
 
-  /** An entry without an answer is written again, under its number, before the next. */
+  /** Appends the entry; retries it with the same number before the next entry is written. */
   private async write(entry: UsageEntry): Promise<void> {
     const bytes = encodeUsage(entry);
     let retryMs = FIRST_RETRY_MS;
--- a/packages/daemon/src/gateway/usage/usage_task.ts
+++ b/packages/daemon/src/gateway/usage/usage_task.ts
@@ -1,8 +1,8 @@
 /**
- * Tells the platform how many requests of each account endpoints began in each
- * window, while this VM holds the lease. What a window's report says is decided
- * once, in the log, before it is sent: a report that is sent again, by this VM
- * or a successor, is the same.
+ * Reports to the platform how many requests of each account endpoints started in each time
+ * window, while this VM holds the lease. The content of a window's report is decided once,
+ * in the log, before it is sent, so that a report that is sent again by this VM or by its
+ * successor is the same.
  */
 
 import {ReportTracker} from '@radishyoke/core/usage/report_tracker';
@@ -30,10 +30,10 @@
   REPORT_TOPIC,
 } from './usage_codec.js';
 
-/** What the task needs of the lease. */
+/** The part of the lease that the task uses. */
 export interface CallLease {
   readonly fencingToken: number;
-  /** Writes down that a call on `subject` is about to be made; says whether it may be made now. */
+  /** Records that a call on `subject` is about to be made; returns whether it may be made now. */
   announce(subject: string): Promise<boolean>;
 }
 
@@ -55,17 +55,17 @@
   readonly now: () => number;
 }
 
-/** All windows are one subject: their reports come from one holder at a time. */
+/** All windows share one subject, so that reports come from one lease holder at a time. */
 const LEASE_SUBJECT = 'usage reports';
-/** How often the task looks whether something is due, ms. */
+/** Interval at which the task checks whether something is due, ms. */
 const TICK_MS = 200;
-/** A window is decided once this share of the time until its report is due has passed: writes that failed at first are there by then, and a log that is away for seconds right after it still leaves time. */
+/** A window is decided after this share of the time until its report is due: by then failed writes of counts were retried, and a log that becomes unavailable for a few seconds right after that still leaves time. */
 const SETTLE_SHARE = 0.3;
 /** Pause after a call that did not succeed, ms. */
 const RETRY_MS = 400;
-/** Windows further back are not made up, ms: the log keeps what was counted for 300 s. */
+/** Windows that ended longer ago than this are not reported any more, ms: the log retains counts for 300 s. */
 const MAX_BEHIND_MS = 240_000;
-/** Windows between two trims of the counts. */
+/** Number of windows between two trims of the counts. */
 const TRIM_EVERY = 12;
 
 export class UsageTask {
@@ -73,12 +73,12 @@
   private readonly decisions = new ReportTracker();
   private readonly reportTail: LogTail;
   private readonly countTails: readonly LogTail[];
-  /** First offset of each partition of counts that a window that is still open needs. */
+  /** For each partition of counts, the first offset that undecided windows may need. */
   private readonly firstNeeded: number[];
   private isTicking = false;
   private isStopped = false;
   private retryAtMs = -Infinity;
-  /** A token that the platform refused is not used again. */
+  /** The last fencing token that the platform refused; it is not used again. */
   private refusedToken = -1;
   private timer: NodeJS.Timeout | undefined;
 
@@ -106,7 +106,7 @@
     clearInterval(this.timer);
   }
 
-  /** Does what is due now; resolves when it is done or must wait. */
+  /** Decides and delivers what is due; resolves when that is done or has to wait. */
   async tick(): Promise<void> {
     if (this.isTicking || this.isStopped) return;
     this.isTicking = true;
@@ -131,7 +131,7 @@
     }
   }
 
-  /** The next window to decide; undefined where the log does not tell. */
+  /** Returns the next window to decide, or undefined if the log does not show it yet. */
   private async findNextWindow(nowMs: number): Promise<number | undefined> {
     const {windowMs} = this.deps.terms;
     const current = findWindow(nowMs, windowMs);
@@ -144,7 +144,7 @@
     return refreshed;
   }
 
-  /** Callers are served before the first holder is there: reports begin with the first window in which something was counted. */
+  /** Starts reporting with the first window that has counts, since callers are served before there is a first lease holder. */
   private async startReporting(current: number): Promise<void> {
     if (!(await this.readCounts())) return;
     const window = Math.min(this.ledger.firstWindow ?? current, current);
@@ -167,7 +167,7 @@
     return true;
   }
 
-  /** Appends and reads back; whoever has not read all that stands can not add to it. */
+  /** Appends a record and reads it back; the append fails if the partition has records that were not read. */
   private async append(record: ReportRecord): Promise<boolean> {
     const outcome = await this.deps.store.append(
       REPORT_TOPIC,
@@ -203,7 +203,7 @@
       fencingToken,
       outcome: answer,
     });
-    // A report that the platform will never take is not sent again either.
+    // A report that the platform refuses will never be accepted and is not sent again.
     if (answer === 'accepted' || answer === 'refused') {
       const record: ReportRecord = {kind: 'delivered', window};
       this.decisions.apply(record);
@@ -235,7 +235,7 @@
     }
   }
 
-  /** Counts that were read before the last call belong to windows that are decided. */
+  /** Lets the log drop counts that were read before the previous trim, since their windows are decided. */
   private trimCounts(): void {
     this.countTails.forEach((tail, partition) => {
       const before = this.firstNeeded[partition];
