--- a/packages/core/src/__tests__/log_promises.spec.ts
+++ b/packages/core/src/__tests__/log_promises.spec.ts
@@ -18,7 +18,7 @@
 const schedule = fc.array(op, {maxLength: OPS_MAX, size: 'max'});
 
 /** Looks for a schedule that breaks a promise whose name matches `symptom`. */
-function findBroken(guard: MissingGuard, symptom: RegExp) {
+function findViolation(guard: MissingGuard, symptom: RegExp) {
   const holds = (ops: readonly ScheduleOp[]) =>
     !runSchedule(ops, guard).some(broken => symptom.test(broken));
   return fc.check(fc.property(schedule, holds), {
@@ -33,7 +33,7 @@
 // configuration reverts or comes into force after it was said to have failed,
 // no former owner's record counts, and all VMs hold the same state.
 test('all promises hold over seeded schedules', t => {
-  const details = findBroken('none', /./);
+  const details = findViolation('none', /./);
   const [ops] = details.counterexample ?? [];
   t.deepEqual(ops && [ops, runSchedule(ops)], undefined);
 });
@@ -54,6 +54,6 @@
 
 for (const {guard, symptom} of MISSING_GUARDS) {
   test(`the schedules catch a system without the guard ${guard}`, t => {
-    t.true(findBroken(guard, symptom).failed);
+    t.true(findViolation(guard, symptom).failed);
   });
 }
--- a/packages/core/src/__tests__/naive_state_fold.ts
+++ b/packages/core/src/__tests__/naive_state_fold.ts
@@ -15,7 +15,7 @@
 }
 
 const VOID: NaiveVerdict = {accepted: false, gains: []};
-const PLAIN: NaiveVerdict = {accepted: true, gains: []};
+const ACCEPTED: NaiveVerdict = {accepted: true, gains: []};
 
 /** Judges every record of a stream. */
 export function judgeNaively(
@@ -24,12 +24,14 @@
 ): readonly NaiveVerdict[] {
   const verdicts: NaiveVerdict[] = [];
   for (const record of records) {
-    verdicts.push(new Judge(records, verdicts, claimHorizonMs).judge(record));
+    verdicts.push(
+      new NaiveJudge(records, verdicts, claimHorizonMs).judge(record),
+    );
   }
   return verdicts;
 }
 
-class Judge {
+class NaiveJudge {
   constructor(
     private readonly records: readonly Logged[],
     private readonly verdicts: readonly NaiveVerdict[],
@@ -38,62 +40,65 @@
 
   judge(record: Logged): NaiveVerdict {
     const {value, offset} = record;
-    if (this.before(offset).some(r => isCopy(r, record))) return VOID;
+    if (this.listBefore(offset).some(r => isCopy(r, record))) return VOID;
     switch (value.kind) {
       case 'lease_claimed':
         return this.judgeClaim(record, value.lease);
       case 'lease_released':
-        return this.owner(value.lease, offset)?.offset === value.fencing
-          ? PLAIN
+        return this.findHolder(value.lease, offset)?.offset === value.fencing
+          ? ACCEPTED
           : VOID;
       case 'step_opened':
         return this.accepted(offset, 'step_opened').some(
           r => r.value.step === value.step,
         )
           ? VOID
-          : PLAIN;
+          : ACCEPTED;
       case 'request_claimed':
-        return this.isClaimed(value.req, offset) ? VOID : PLAIN;
+        return this.isClaimed(value.req, offset) ? VOID : ACCEPTED;
       case 'request_released':
-        return this.isClaimed(value.req, offset, record) ? PLAIN : VOID;
+        return this.isClaimed(value.req, offset, record) ? ACCEPTED : VOID;
       case 'samples_committed':
         return this.judgeCommit(offset, value);
       case 'step_closed':
-        return this.isOwner(offset, value) ? PLAIN : VOID;
+        return this.isOwner(offset, value) ? ACCEPTED : VOID;
       default:
-        return PLAIN;
+        return ACCEPTED;
     }
   }
 
   /** Whether a claim counts before `offset`; with `by`, one of its writer. */
-  private isClaimed(req: string, offset: number, by?: Logged): boolean {
+  private isClaimed(req: string, offset: number, releaser?: Logged): boolean {
     let claims: Logged[] = [];
     let winner: Logged | undefined;
-    for (const r of this.before(offset)) {
+    for (const r of this.listBefore(offset)) {
       const {value} = r;
-      const isOurs = 'req' in value && value.req === req;
-      if (!isOurs || this.before(r.offset).some(e => isCopy(e, r))) continue;
+      const isSameRequest = 'req' in value && value.req === req;
+      if (!isSameRequest || this.listBefore(r.offset).some(e => isCopy(e, r)))
+        continue;
       const accepted = this.verdicts[r.offset]!.accepted;
       if (value.kind === 'request_released' && accepted) claims = [];
       if (value.kind !== 'request_claimed') continue;
       claims.push(r);
       if (accepted) winner = r;
     }
-    const counts = claims.some(
+    const isInForce = claims.some(
       r => this.timeOf(r.offset) + this.claimHorizonMs > this.timeOf(offset),
     );
-    return counts && (by === undefined || isSameWriter(winner!, by));
+    return (
+      isInForce && (releaser === undefined || isSameWriter(winner!, releaser))
+    );
   }
 
   private judgeClaim(record: Logged, lease: string): NaiveVerdict {
     const {offset} = record;
     if (!this.isLive(record, offset)) return VOID;
-    const owner = this.owner(lease, offset);
-    if (owner === undefined || !this.isLive(owner, offset)) {
+    const holder = this.findHolder(lease, offset);
+    if (holder === undefined || !this.isLive(holder, offset)) {
       return {accepted: true, gains: [offset]};
     }
-    if (!isSameWriter(owner, record)) return VOID;
-    return {accepted: true, gains: [owner.offset]};
+    if (!isSameWriter(holder, record)) return VOID;
+    return {accepted: true, gains: [holder.offset]};
   }
 
   private judgeCommit(
@@ -121,36 +126,38 @@
     const closed = this.accepted(offset, 'step_closed').length > 0;
     const lease = `step:${value.tenant}/${value.step}`;
     return (
-      opened && !closed && this.owner(lease, offset)?.offset === value.fencing
+      opened &&
+      !closed &&
+      this.findHolder(lease, offset)?.offset === value.fencing
     );
   }
 
   /** The claim that holds the lease before `offset`, lapsed or not. */
-  private owner(lease: string, offset: number): Logged | undefined {
-    let owner: Logged | undefined;
-    for (const r of this.before(offset)) {
+  private findHolder(lease: string, offset: number): Logged | undefined {
+    let holder: Logged | undefined;
+    for (const r of this.listBefore(offset)) {
       if (!this.verdicts[r.offset]!.accepted) continue;
       const {value} = r;
       if (value.kind === 'lease_claimed' && value.lease === lease) {
-        owner = this.records[this.verdicts[r.offset]!.gains[0]!]!;
+        holder = this.records[this.verdicts[r.offset]!.gains[0]!]!;
       }
       if (value.kind === 'lease_released' && value.lease === lease) {
-        owner = undefined;
+        holder = undefined;
       }
       // Whoever closes a step gives its lease back with it.
       if (
         value.kind === 'step_closed' &&
         `step:${value.tenant}/${value.step}` === lease
       ) {
-        owner = undefined;
+        holder = undefined;
       }
     }
-    return owner;
+    return holder;
   }
 
   /** Whether the session of a record's writer is live at `offset`. */
   private isLive(record: Logged, offset: number): boolean {
-    const last = this.before(offset)
+    const last = this.listBefore(offset)
       .filter((r, _, all) => isSameWriter(r, record) && !hasEarlier(r, all))
       .filter(r => r.value.kind.startsWith('session'))
       .at(-1);
@@ -168,19 +175,22 @@
     return timeMs;
   }
 
-  private before(offset: number): readonly Logged[] {
+  private listBefore(offset: number): readonly Logged[] {
     return this.records.slice(0, offset);
   }
 
   /** Records of a kind before `offset`, copies left out. */
-  private first<K extends StateRecord['kind']>(offset: number, kind: K) {
-    return this.before(offset).filter(
+  private listFirstCopies<K extends StateRecord['kind']>(
+    offset: number,
+    kind: K,
+  ) {
+    return this.listBefore(offset).filter(
       (r, _, all) => r.value.kind === kind && !hasEarlier(r, all),
     ) as Array<LoggedRecord<Extract<StateRecord, {kind: K}>>>;
   }
 
   private accepted<K extends StateRecord['kind']>(offset: number, kind: K) {
-    return this.first(offset, kind).filter(
+    return this.listFirstCopies(offset, kind).filter(
       r => this.verdicts[r.offset]!.accepted,
     );
   }
--- a/packages/core/src/ledger/__tests__/checkpoint.spec.ts
+++ b/packages/core/src/ledger/__tests__/checkpoint.spec.ts
@@ -25,12 +25,12 @@
       shuffled => {
         const stream = new RecordFixture<CheckpointPart>();
         const assembler = new CheckpointAssembler();
-        const whole = shuffled
+        const completed = shuffled
           .flatMap(part => [part, part])
           .map(part => assembler.add(stream.append(part, 5)))
           .filter(checkpoint => checkpoint !== undefined);
-        t.true(whole.length >= 1);
-        for (const {text, asOf} of whole) {
+        t.true(completed.length >= 1);
+        for (const {text, asOf} of completed) {
           t.is(asOf, 7);
           t.deepEqual(Object.keys(JSON.parse(text)), ['a']);
         }
--- a/packages/core/src/ledger/__tests__/currency.spec.ts
+++ b/packages/core/src/ledger/__tests__/config_freshness.spec.ts
@@ -1,11 +1,15 @@
 import {toVmId} from '@radishyoke/shared/ids';
 import test from 'ava';
-import {CurrencyTracker, DEFAULT_CURRENCY_TIMING} from '../currency.js';
+import {
+  ConfigFreshnessTracker,
+  DEFAULT_CONFIG_FRESHNESS_TIMING,
+} from '../config_freshness.js';
 
-const {confirmEveryMs, logDownMs, cutOffMs} = DEFAULT_CURRENCY_TIMING;
+const {maxConfirmationAgeMs, logDownMs, cutOffMs} =
+  DEFAULT_CONFIG_FRESHNESS_TIMING;
 const [PEER, OTHER] = [toVmId('b'), toVmId('c')];
 
-interface CurrencyCase {
+interface FreshnessCase {
   readonly name: string;
   /** Age of this VM's own last read to the end; undefined for none. */
   readonly ownReadAgeMs?: number;
@@ -14,7 +18,7 @@
   readonly expected: string;
 }
 
-const CASES: readonly CurrencyCase[] = [
+const CASES: readonly FreshnessCase[] = [
   {name: 'reads the log', ownReadAgeMs: 0, expected: 'current'},
   {
     name: 'has a silent log connection and a peer that reads',
@@ -24,7 +28,7 @@
   },
   {
     name: 'has a silent log connection and a peer that is ahead',
-    ownReadAgeMs: confirmEveryMs + 1,
+    ownReadAgeMs: maxConfirmationAgeMs + 1,
     peer: {next: 6, ageMs: 100},
     expected: 'uncertain behind',
   },
@@ -63,13 +67,17 @@
 for (const {name, ownReadAgeMs, peer, expected} of CASES) {
   test(`a VM that ${name} is ${expected}`, t => {
     const nowMs = 10_000_000;
-    const tracker = new CurrencyTracker(DEFAULT_CURRENCY_TIMING, 0);
-    tracker.noteFolded(5);
-    if (ownReadAgeMs !== undefined) tracker.noteRead(5, nowMs - ownReadAgeMs);
-    if (peer) tracker.notePeer(PEER, peer.next, peer.ageMs, nowMs);
-    tracker.notePeer(OTHER, 4, 0, 0);
-    const currency = tracker.assess(2, nowMs);
-    const reason = 'reason' in currency ? ` ${currency.reason}` : '';
-    t.is(currency.kind + reason, expected);
+    const tracker = new ConfigFreshnessTracker(
+      DEFAULT_CONFIG_FRESHNESS_TIMING,
+      0,
+    );
+    tracker.recordFolded(5);
+    if (ownReadAgeMs !== undefined) tracker.recordRead(5, nowMs - ownReadAgeMs);
+    if (peer)
+      tracker.recordPeerConfirmation(PEER, peer.next, peer.ageMs, nowMs);
+    tracker.recordPeerConfirmation(OTHER, 4, 0, 0);
+    const freshness = tracker.assess(2, nowMs);
+    const reason = 'reason' in freshness ? ` ${freshness.reason}` : '';
+    t.is(freshness.kind + reason, expected);
   });
 }
--- a/packages/core/src/ledger/__tests__/naive_state_fold.spec.ts
+++ b/packages/core/src/ledger/__tests__/naive_state_fold.spec.ts
@@ -26,7 +26,7 @@
 const LEASE = `step:${TENANT}/${STEP}`;
 
 /** One record to come: kind, writer, a number for the rest, and time passing. */
-const choice = fc.tuple(
+const choiceArbitrary = fc.tuple(
   fc.nat(9),
   fc.nat(VMS.length - 1),
   fc.nat(40),
@@ -81,15 +81,15 @@
   const stream = new RecordFixture<StateRecord>();
   const fold = new StateFold({claimHorizonMs: CLAIM_HORIZON_MS});
   let timeMs = 100_000;
-  for (const [kind, writer, detail, passingMs] of choices) {
-    timeMs += passingMs;
+  for (const [kind, writer, detail, elapsedMs] of choices) {
+    timeMs += elapsedMs;
     const body = createBody(kind, detail);
     const fencing = fold.leases.find(LEASE)?.fencing;
-    const known =
+    const usesCurrentFencing =
       'fencing' in body && detail % 4 !== 0 && fencing !== undefined;
     const record = stream.add(
       VMS[writer]!,
-      known ? {...body, fencing} : body,
+      usesCurrentFencing ? {...body, fencing} : body,
       timeMs,
     );
     fold.apply(record);
@@ -109,15 +109,18 @@
 
 test('the fold judges every record as the naive model does', t => {
   const details = fc.check(
-    fc.property(fc.array(choice, {maxLength: 60, size: 'max'}), choices => {
-      const {records} = createStream(choices);
-      const fold = new StateFold({claimHorizonMs: CLAIM_HORIZON_MS});
-      const verdicts = records.map(record => simplify(fold.apply(record)));
-      return isDeepStrictEqual(
-        verdicts,
-        judgeNaively(records, CLAIM_HORIZON_MS),
-      );
-    }),
+    fc.property(
+      fc.array(choiceArbitrary, {maxLength: 60, size: 'max'}),
+      choices => {
+        const {records} = createStream(choices);
+        const fold = new StateFold({claimHorizonMs: CLAIM_HORIZON_MS});
+        const verdicts = records.map(record => simplify(fold.apply(record)));
+        return isDeepStrictEqual(
+          verdicts,
+          judgeNaively(records, CLAIM_HORIZON_MS),
+        );
+      },
+    ),
     {seed: 3, numRuns: 500},
   );
   t.deepEqual(details.counterexample, null);
@@ -127,26 +130,29 @@
 test('a checkpoint at any offset folds on to the same state', t => {
   fc.assert(
     fc.property(
-      fc.array(choice, {maxLength: 60, size: 'max'}),
+      fc.array(choiceArbitrary, {maxLength: 60, size: 'max'}),
       fc.nat(60),
-      (choices, cut) => {
+      (choices, prefixLength) => {
         const {records} = createStream(choices);
         const cfg = {claimHorizonMs: CLAIM_HORIZON_MS};
-        const whole = new StateFold(cfg);
-        const prefix = records.slice(0, cut);
-        for (const record of prefix) whole.apply(record);
+        const fullFold = new StateFold(cfg);
+        const prefix = records.slice(0, prefixLength);
+        for (const record of prefix) fullFold.apply(record);
         const assembler = new CheckpointAssembler();
-        const [checkpoint] = splitCheckpoint(whole.next, whole.toSnapshot())
+        const [checkpoint] = splitCheckpoint(
+          fullFold.next,
+          fullFold.toSnapshot(),
+        )
           .map((part, offset) => {
             const value = {...part, stamp: createStamp('a', part.part + 1)};
             return assembler.add({offset, timeMs: 0, value});
           })
           .filter(found => found !== undefined);
-        const late = new StateFold(cfg, JSON.parse(checkpoint!.text));
-        for (const record of records.slice(cut)) {
-          t.deepEqual(late.apply(record), whole.apply(record));
+        const restoredFold = new StateFold(cfg, JSON.parse(checkpoint!.text));
+        for (const record of records.slice(prefixLength)) {
+          t.deepEqual(restoredFold.apply(record), fullFold.apply(record));
         }
-        t.deepEqual(late.toSnapshot(), whole.toSnapshot());
+        t.deepEqual(restoredFold.toSnapshot(), fullFold.toSnapshot());
       },
     ),
     {seed: 4, numRuns: 300},
--- a/packages/core/src/ledger/checkpoint.ts
+++ b/packages/core/src/ledger/checkpoint.ts
@@ -5,7 +5,7 @@
 
 import type {CheckpointPart, LoggedRecord} from '@radishyoke/shared/log_record';
 import {computeDigest} from './digest.js';
-import {nameWriter} from './writer_table.js';
+import {buildWriterKey} from './writer_table.js';
 
 /** Characters of snapshot text in one record. */
 const PART_CHARS = 48_000;
@@ -55,7 +55,7 @@
   /** Takes the next record; returns the checkpoint that it completes. */
   add(record: LoggedRecord<CheckpointPart>): Checkpoint | undefined {
     const {stamp, asOf, part, parts, digest, text} = record.value;
-    const key = `${nameWriter(stamp)}/${asOf}/${digest}`;
+    const key = `${buildWriterKey(stamp)}/${asOf}/${digest}`;
     const texts = this.unfinished.get(key) ?? new Map<number, string>();
     this.unfinished.set(key, texts);
     texts.set(part, text);
@@ -64,10 +64,10 @@
       return undefined;
     }
     this.unfinished.delete(key);
-    const whole = Array.from({length: parts}, (_, i) => texts.get(i)).join('');
-    if (computeDigest(whole) !== digest) return undefined;
+    const joined = Array.from({length: parts}, (_, i) => texts.get(i)).join('');
+    if (computeDigest(joined) !== digest) return undefined;
     const {offset, timeMs} = record;
-    return {asOf, completedAt: offset, timeMs, text: whole};
+    return {asOf, completedAt: offset, timeMs, text: joined};
   }
 
   private dropOverflow(): void {
--- a/packages/core/src/ledger/currency.ts
+++ b/packages/core/src/ledger/config_freshness.ts
@@ -3,7 +3,7 @@
 import type {VmId} from '@radishyoke/shared/ids';
 
 /** What a VM can say of its configuration. */
-export type Currency =
+export type ConfigFreshness =
   /** Confirmed a short while ago: nothing newer was accepted by then. */
   | {readonly kind: 'current'}
   /** Not confirmed of late, but still trusted; VMs go on serving and say so. */
@@ -27,9 +27,9 @@
   /** Another VM has records that this one lacks. */
   | 'behind';
 
-export interface CurrencyTiming {
+export interface ConfigFreshnessTiming {
   /** Confirmations older than this leave the VM uncertain. */
-  readonly confirmEveryMs: number;
+  readonly maxConfirmationAgeMs: number;
   /** How long a VM that hears most others goes on without the log. */
   readonly logDownMs: number;
   /** How long a VM goes on that hears neither the log nor most others. */
@@ -41,16 +41,16 @@
  * for long. Cut off, a VM may miss what the others have accepted, so it stays up
  * for the time of a passing fault only.
  */
-export const DEFAULT_CURRENCY_TIMING: CurrencyTiming = {
-  confirmEveryMs: 6000,
+export const DEFAULT_CONFIG_FRESHNESS_TIMING: ConfigFreshnessTiming = {
+  maxConfirmationAgeMs: 6000,
   logDownMs: 300_000,
   cutOffMs: 30_000,
 };
 
-interface PeerWord {
+interface PeerReport {
   readonly next: number;
   readonly confirmedAtMs: number;
-  readonly heardAtMs: number;
+  readonly receivedAtMs: number;
 }
 
 /**
@@ -58,24 +58,24 @@
  * end of the stream, or by a VM that had done so and was no further. All times
  * are this VM's monotonic ms; what others tell is an age, never a time of day.
  */
-export class CurrencyTracker {
-  private readonly peers = new Map<VmId, PeerWord>();
+export class ConfigFreshnessTracker {
+  private readonly peers = new Map<VmId, PeerReport>();
   private ownConfirmedAtMs = -Infinity;
   private ownNext = 0;
 
   constructor(
-    private readonly timing: CurrencyTiming,
+    private readonly timing: ConfigFreshnessTiming,
     private readonly startedAtMs: number,
   ) {}
 
   /** This VM folded all records below `next`. */
-  noteFolded(next: number): void {
+  recordFolded(next: number): void {
     this.ownNext = Math.max(this.ownNext, next);
   }
 
   /** This VM read to the end of the stream. */
-  noteRead(next: number, nowMs: number): void {
-    this.noteFolded(next);
+  recordRead(next: number, nowMs: number): void {
+    this.recordFolded(next);
     this.ownConfirmedAtMs = Math.max(this.ownConfirmedAtMs, nowMs);
   }
 
@@ -83,19 +83,24 @@
    * This VM took its configuration from another one that trusts it. A VM that
    * starts while the log is down serves by what the others serve by.
    */
-  noteTaken(next: number, nowMs: number): void {
-    this.noteRead(next, nowMs);
+  recordAdopted(next: number, nowMs: number): void {
+    this.recordRead(next, nowMs);
   }
 
   /** A VM is heard that tells of `next` and not of any confirmation. */
-  noteHeard(vm: VmId, next: number, nowMs: number): void {
-    this.notePeer(vm, next, Infinity, nowMs);
+  recordPeerNext(vm: VmId, next: number, nowMs: number): void {
+    this.recordPeerConfirmation(vm, next, Infinity, nowMs);
   }
 
   /** Another VM had its configuration, up to `next`, confirmed `ageMs` ago. */
-  notePeer(vm: VmId, next: number, ageMs: number, nowMs: number): void {
-    const word = {next, confirmedAtMs: nowMs - ageMs, heardAtMs: nowMs};
-    this.peers.set(vm, word);
+  recordPeerConfirmation(
+    vm: VmId,
+    next: number,
+    ageMs: number,
+    nowMs: number,
+  ): void {
+    const report = {next, confirmedAtMs: nowMs - ageMs, receivedAtMs: nowMs};
+    this.peers.set(vm, report);
   }
 
   dropPeer(vm: VmId): void {
@@ -103,34 +108,35 @@
   }
 
   /** Ms since the last confirmation, to be told to other VMs. */
-  measureAgeMs(nowMs: number): number {
+  measureConfirmationAgeMs(nowMs: number): number {
     return nowMs - this.findConfirmedAtMs();
   }
 
   /** `otherVms` counts the live VMs besides this one. */
-  assess(otherVms: number, nowMs: number): Currency {
+  assess(otherVms: number, nowMs: number): ConfigFreshness {
     const confirmedAtMs = this.findConfirmedAtMs();
-    const {confirmEveryMs} = this.timing;
-    if (nowMs - confirmedAtMs <= confirmEveryMs) return {kind: 'current'};
+    const {maxConfirmationAgeMs} = this.timing;
+    if (nowMs - confirmedAtMs <= maxConfirmationAgeMs) return {kind: 'current'};
     const reason = this.findReason(otherVms, nowMs);
     const sinceMs = Math.max(confirmedAtMs, this.startedAtMs);
     const isTrusted =
       confirmedAtMs !== -Infinity &&
-      nowMs - confirmedAtMs <= this.findTrustMs(reason);
+      nowMs - confirmedAtMs <= this.findMaxAgeMs(reason);
     return {kind: isTrusted ? 'uncertain' : 'not_current', sinceMs, reason};
   }
 
-  private findTrustMs(reason: UncertainReason): number {
+  private findMaxAgeMs(reason: UncertainReason): number {
     const {logDownMs, cutOffMs} = this.timing;
     return reason === 'log_down' ? logDownMs : cutOffMs;
   }
 
   private findReason(otherVms: number, nowMs: number): UncertainReason {
-    const heard = [...this.peers.values()].filter(
-      word => nowMs - word.heardAtMs <= this.timing.confirmEveryMs,
+    const recentReports = [...this.peers.values()].filter(
+      report => nowMs - report.receivedAtMs <= this.timing.maxConfirmationAgeMs,
     );
-    if (heard.some(word => word.next > this.ownNext)) return 'behind';
-    return heard.length * 2 >= otherVms ? 'log_down' : 'cut_off';
+    if (recentReports.some(report => report.next > this.ownNext))
+      return 'behind';
+    return recentReports.length * 2 >= otherVms ? 'log_down' : 'cut_off';
   }
 
   /**
@@ -139,8 +145,12 @@
    */
   private findConfirmedAtMs(): number {
     let confirmedAtMs = this.ownConfirmedAtMs;
-    for (const {next, confirmedAtMs: atMs} of this.peers.values()) {
-      if (next === this.ownNext) confirmedAtMs = Math.max(confirmedAtMs, atMs);
+    for (const {
+      next,
+      confirmedAtMs: peerConfirmedAtMs,
+    } of this.peers.values()) {
+      if (next === this.ownNext)
+        confirmedAtMs = Math.max(confirmedAtMs, peerConfirmedAtMs);
     }
     return confirmedAtMs;
   }
--- a/packages/core/src/ledger/lease_table.ts
+++ b/packages/core/src/ledger/lease_table.ts
@@ -3,7 +3,7 @@
 import type {IncarnationId, VmId} from '@radishyoke/shared/ids';
 import type {Stamp} from '@radishyoke/shared/log_record';
 import type {SessionTable} from './session_table.js';
-import {nameWriter} from './writer_table.js';
+import {buildWriterKey} from './writer_table.js';
 import {type Verdict, voidBecause} from './verdict.js';
 
 /** The last accepted claim on a lease. */
@@ -20,9 +20,9 @@
 }
 
 /** Name of the lease on a step. */
-export const nameStepLease = (stepKey: string) => `step:${stepKey}`;
+export const buildStepLeaseName = (stepKey: string) => `step:${stepKey}`;
 /** Name of the lease on ordering the engines of a model. */
-export const nameOrdersLease = (model: string) => `orders:${model}`;
+export const buildOrdersLeaseName = (model: string) => `orders:${model}`;
 
 /**
  * Leases by name. A lease lasts as long as its holder's session and is not taken
@@ -42,12 +42,12 @@
   /** Judges a claim that stands at `offset`. */
   claim(name: string, stamp: Stamp, offset: number, nowMs: number): Verdict {
     const {vm, incarnation} = stamp;
-    if (!this.sessions.isLive(nameWriter(stamp), nowMs)) {
+    if (!this.sessions.isLive(buildWriterKey(stamp), nowMs)) {
       return voidBecause('no_session');
     }
     const current = this.leases.get(name);
     if (current !== undefined && this.isHeld(current, nowMs)) {
-      if (nameWriter(current) !== nameWriter(stamp)) {
+      if (buildWriterKey(current) !== buildWriterKey(stamp)) {
         return voidBecause('lease_held');
       }
       return {kind: 'accepted', fencing: current.fencing};
@@ -87,13 +87,15 @@
   }
 
   isHeld(lease: Lease, nowMs: number): boolean {
-    return !lease.released && this.sessions.isLive(nameWriter(lease), nowMs);
+    return (
+      !lease.released && this.sessions.isLive(buildWriterKey(lease), nowMs)
+    );
   }
 
   /** Leases whose last claim is `writer`'s and not given back. */
-  listOf(writer: string): readonly Lease[] {
+  listClaimedBy(writer: string): readonly Lease[] {
     return [...this.leases.values()].filter(
-      lease => !lease.released && nameWriter(lease) === writer,
+      lease => !lease.released && buildWriterKey(lease) === writer,
     );
   }
 
@@ -101,7 +103,7 @@
     return [...this.leases.values()];
   }
 
-  drop(name: string): void {
+  remove(name: string): void {
     this.leases.delete(name);
   }
 
--- a/packages/core/src/ledger/request_claims.ts
+++ b/packages/core/src/ledger/request_claims.ts
@@ -24,32 +24,32 @@
   /** In the order of the last claim, because each claim is put in anew. */
   private readonly claims = new Map<string, Claim>();
   /** One string a writer, for all of its claims. */
-  private readonly writerNames = new Map<string, string>();
+  private readonly internedWriters = new Map<string, string>();
 
   constructor(
     private readonly horizonMs: number,
     entries: readonly ClaimEntry[] = [],
   ) {
     for (const [key, winner, lastClaimAtMs] of entries) {
-      this.claims.set(key, {winner: this.shareName(winner), lastClaimAtMs});
+      this.claims.set(key, {winner: this.internWriter(winner), lastClaimAtMs});
     }
   }
 
   /** Claims `key` for `writer`. */
   claim(key: string, writer: string, nowMs: number): ClaimOutcome {
     this.dropExpired(nowMs);
-    const known = this.claims.get(key);
+    const existing = this.claims.get(key);
     // Dropping the oldest to make room would let a resent request run twice,
     // unseen. A refused id was not run, and its caller is told so.
-    if (known === undefined && this.claims.size >= MAX_REQUEST_CLAIMS) {
+    if (existing === undefined && this.claims.size >= MAX_REQUEST_CLAIMS) {
       return 'full';
     }
     this.claims.delete(key);
     this.claims.set(key, {
-      winner: known?.winner ?? this.shareName(writer),
+      winner: existing?.winner ?? this.internWriter(writer),
       lastClaimAtMs: nowMs,
     });
-    return known === undefined ? 'won' : 'lost';
+    return existing === undefined ? 'won' : 'lost';
   }
 
   /** Forgets the claim that `writer` won; returns whether it held it. */
@@ -60,7 +60,7 @@
   }
 
   /** Who holds the claim on `key`, if anybody does. */
-  winnerOf(key: string): string | undefined {
+  findWinner(key: string): string | undefined {
     return this.claims.get(key)?.winner;
   }
 
@@ -76,10 +76,10 @@
     ]);
   }
 
-  private shareName(writer: string): string {
-    const known = this.writerNames.get(writer);
-    if (known !== undefined) return known;
-    this.writerNames.set(writer, writer);
+  private internWriter(writer: string): string {
+    const interned = this.internedWriters.get(writer);
+    if (interned !== undefined) return interned;
+    this.internedWriters.set(writer, writer);
     return writer;
   }
 
@@ -88,6 +88,6 @@
       if (lastClaimAtMs + this.horizonMs > nowMs) return;
       this.claims.delete(key);
     }
-    this.writerNames.clear();
+    this.internedWriters.clear();
   }
 }
--- a/packages/core/src/ledger/session_table.ts
+++ b/packages/core/src/ledger/session_table.ts
@@ -8,8 +8,8 @@
   private readonly expiries = new Map<string, number>();
 
   constructor(entries: readonly SessionEntry[] = []) {
-    for (const [writer, expiresAtMs] of entries) {
-      this.expiries.set(writer, expiresAtMs);
+    for (const [writer, expiryMs] of entries) {
+      this.expiries.set(writer, expiryMs);
     }
   }
 
@@ -26,7 +26,7 @@
   }
 
   /** When the session lapses; 0 for none. */
-  expiresAtMs(writer: string): number {
+  findExpiryMs(writer: string): number {
     return this.expiries.get(writer) ?? 0;
   }
 
@@ -37,7 +37,7 @@
     return live;
   }
 
-  dropLapsed(nowMs: number): void {
+  dropExpired(nowMs: number): void {
     for (const [writer, expiry] of this.expiries) {
       if (expiry <= nowMs) this.expiries.delete(writer);
     }
--- a/packages/core/src/ledger/state_fold.ts
+++ b/packages/core/src/ledger/state_fold.ts
@@ -7,36 +7,36 @@
 import type {RequestId, StepId, TenantId} from '@radishyoke/shared/ids';
 import type {LoggedRecord, StateRecord} from '@radishyoke/shared/log_record';
 import {STEP_LIMITS} from '@radishyoke/shared/rollout';
-import {type Lease, LeaseTable, nameStepLease} from './lease_table.js';
+import {type Lease, LeaseTable, buildStepLeaseName} from './lease_table.js';
 import {LogClock, type LogClockSnapshot} from './log_clock.js';
 import {type ClaimEntry, RequestClaims} from './request_claims.js';
 import {type SessionEntry, SessionTable} from './session_table.js';
 import {
-  nameStep,
+  buildStepKey,
   type StepOpening,
   StepLedger,
   type StepSnapshot,
 } from '../steps/step_ledger.js';
 import {type SuspectEntry, SuspectTable} from '../membership/suspect_table.js';
 import {ACCEPTED, type Verdict, voidBecause} from './verdict.js';
-import {nameWriter, type WriterEntry, WriterTable} from './writer_table.js';
+import {buildWriterKey, type WriterEntry, WriterTable} from './writer_table.js';
 
 /** How long a request id is remembered after the last attempt to claim it. */
 export const DEFAULT_CLAIM_HORIZON_MS = 3_600_000;
 /** How long a closed step answers a late reader before it is forgotten. */
-const CLOSED_STEP_KEPT_MS = 600_000;
+const CLOSED_STEP_RETENTION_MS = 600_000;
 /** How long past its timeout a step that nobody closed is kept. */
-const OVERDUE_STEP_KEPT_MS = 3_600_000;
+const OVERDUE_STEP_RETENTION_MS = 3_600_000;
 /**
  * After an outage of the log, VMs judge for a while by the time before it, at
  * which sessions that have lapsed since were live.
  */
-const LAPSED_SESSION_KEPT_MS = 3_600_000;
-const LEASE_KEPT_MS = 86_400_000;
-const WRITER_KEPT_MS = 3_600_000;
-const SUSPECT_KEPT_MS = 3_600_000;
+const EXPIRED_SESSION_RETENTION_MS = 3_600_000;
+const IDLE_LEASE_RETENTION_MS = 86_400_000;
+const WRITER_RETENTION_MS = 3_600_000;
+const SUSPECT_RETENTION_MS = 3_600_000;
 /** Old entries are looked for once in this much log time. */
-const SWEEP_EVERY_MS = 10_000;
+const SWEEP_INTERVAL_MS = 10_000;
 
 type RecordOf<K extends StateRecord['kind']> = Extract<StateRecord, {kind: K}>;
 /** Records that only the owner of a step may write. */
@@ -84,7 +84,7 @@
 
 /** Log time after which nothing of an older record can matter, but its number. */
 export function measureStateSpanMs(cfg: StateFoldConfig): number {
-  const stepSpanMs = STEP_LIMITS.timeoutMs + OVERDUE_STEP_KEPT_MS;
+  const stepSpanMs = STEP_LIMITS.timeoutMs + OVERDUE_STEP_RETENTION_MS;
   return Math.max(cfg.claimHorizonMs, stepSpanMs);
 }
 
@@ -135,13 +135,13 @@
     return this.clock.nowMs;
   }
 
-  get sessions(): Pick<SessionTable, 'isLive' | 'expiresAtMs' | 'count'> {
+  get sessions(): Pick<SessionTable, 'isLive' | 'findExpiryMs' | 'count'> {
     return this.sessionTable;
   }
 
   get leases(): Pick<
     LeaseTable,
-    'find' | 'isHeld' | 'isCurrent' | 'listOf' | 'list'
+    'find' | 'isHeld' | 'isCurrent' | 'listClaimedBy' | 'list'
   > {
     return this.leaseTable;
   }
@@ -155,7 +155,7 @@
   }
 
   findStep(tenant: TenantId, step: StepId): StepLedger | undefined {
-    return this.stepMap.get(nameStep(tenant, step));
+    return this.stepMap.get(buildStepKey(tenant, step));
   }
 
   listSteps(): readonly StepLedger[] {
@@ -163,22 +163,22 @@
   }
 
   /** Open steps whose lease nobody holds at `nowMs` of the log. */
-  listOrphans(nowMs: number): readonly StepLedger[] {
+  listUnownedSteps(nowMs: number): readonly StepLedger[] {
     return this.listSteps().filter(step => {
       if (step.closed !== undefined) return false;
-      const lease = this.leaseTable.find(nameStepLease(step.key));
+      const lease = this.leaseTable.find(buildStepLeaseName(step.key));
       return lease === undefined || !this.leaseTable.isHeld(lease, nowMs);
     });
   }
 
   /** Writer that holds the claim on a request id, as `vm/incarnation`. */
-  claimantOf(tenant: TenantId, req: RequestId): string | undefined {
-    return this.claims.winnerOf(`${tenant}/${req}`);
+  findClaimant(tenant: TenantId, req: RequestId): string | undefined {
+    return this.claims.findWinner(`${tenant}/${req}`);
   }
 
   /** Highest sequence number seen of a writer. */
   highestSeqOf(writer: string): number {
-    return this.writers.highestOf(writer);
+    return this.writers.highestSeqOf(writer);
   }
 
   /** Applies the next record and tells what became of it. */
@@ -186,7 +186,7 @@
     this.nextOffset = record.offset + 1;
     const nowMs = this.clock.advance(record.timeMs);
     this.sweep(nowMs);
-    if (!this.writers.admit(record.value.stamp, nowMs)) {
+    if (!this.writers.recordIfNew(record.value.stamp, nowMs)) {
       return voidBecause('copy');
     }
     return this.judge(record.value, record.offset, nowMs);
@@ -208,7 +208,7 @@
   }
 
   private judge(value: StateRecord, offset: number, nowMs: number): Verdict {
-    const writer = nameWriter(value.stamp);
+    const writer = buildWriterKey(value.stamp);
     switch (value.kind) {
       case 'session':
         this.sessionTable.renew(writer, value.ttlMs, nowMs);
@@ -233,13 +233,17 @@
           : voidBecause('no_change');
       }
       case 'crash_seen':
-        this.suspectTable.add(value.endpoint, value.fingerprints, nowMs);
+        this.suspectTable.recordCrash(
+          value.endpoint,
+          value.fingerprints,
+          nowMs,
+        );
         return ACCEPTED;
       case 'checkpoint_part':
       case 'audit_anchored':
         return ACCEPTED;
       default:
-        return this.judgeOwner(value, nowMs);
+        return this.judgeOwnerRecord(value, nowMs);
     }
   }
 
@@ -261,10 +265,10 @@
 
   private openStep(value: RecordOf<'step_opened'>, nowMs: number): Verdict {
     const {tenant, step, digest, req, rule, configVersion} = value;
-    const known = this.findStep(tenant, step);
-    if (known !== undefined) {
-      const same = known.opening.digest === digest;
-      return voidBecause(same ? 'no_change' : 'step_conflict');
+    const existing = this.findStep(tenant, step);
+    if (existing !== undefined) {
+      const isSame = existing.opening.digest === digest;
+      return voidBecause(isSame ? 'no_change' : 'step_conflict');
     }
     const opening: StepOpening = {
       tenant,
@@ -275,21 +279,21 @@
       configVersion,
       openedAtMs: nowMs,
     };
-    this.stepMap.set(nameStep(tenant, step), new StepLedger(opening));
+    this.stepMap.set(buildStepKey(tenant, step), new StepLedger(opening));
     return ACCEPTED;
   }
 
-  private judgeOwner(value: OwnerRecord, nowMs: number): Verdict {
+  private judgeOwnerRecord(value: OwnerRecord, nowMs: number): Verdict {
     const step = this.findStep(value.tenant, value.step);
     if (step === undefined) return voidBecause('unknown_step');
     if (step.closed !== undefined) return voidBecause('step_closed');
-    const lease = nameStepLease(step.key);
+    const lease = buildStepLeaseName(step.key);
     if (!this.leaseTable.isCurrent(lease, value.fencing)) {
       return voidBecause('stale_fencing');
     }
     switch (value.kind) {
       case 'attempts_started':
-        return step.start(value.attempts, value.fencing)
+        return step.recordStarts(value.attempts, value.fencing)
           ? ACCEPTED
           : voidBecause('out_of_range');
       case 'samples_committed': {
@@ -315,15 +319,15 @@
 
   /** Forgets what no longer counts. Due times come from the log, as all else. */
   private sweep(nowMs: number): void {
-    if (nowMs < this.sweptAtMs + SWEEP_EVERY_MS) return;
+    if (nowMs < this.sweptAtMs + SWEEP_INTERVAL_MS) return;
     this.sweptAtMs = nowMs;
-    this.sessionTable.dropLapsed(nowMs - LAPSED_SESSION_KEPT_MS);
-    this.writers.dropBefore(nowMs - WRITER_KEPT_MS);
-    this.suspectTable.dropBefore(nowMs - SUSPECT_KEPT_MS);
+    this.sessionTable.dropExpired(nowMs - EXPIRED_SESSION_RETENTION_MS);
+    this.writers.dropBefore(nowMs - WRITER_RETENTION_MS);
+    this.suspectTable.dropBefore(nowMs - SUSPECT_RETENTION_MS);
     for (const step of this.listSteps()) {
-      if (nowMs < dropStepAtMs(step)) continue;
+      if (nowMs < findStepExpiryMs(step)) continue;
       this.stepMap.delete(step.key);
-      this.leaseTable.drop(nameStepLease(step.key));
+      this.leaseTable.remove(buildStepLeaseName(step.key));
     }
     this.dropIdleLeases(nowMs);
   }
@@ -331,14 +335,15 @@
   private dropIdleLeases(nowMs: number): void {
     for (const lease of this.leaseTable.list()) {
       if (this.leaseTable.isHeld(lease, nowMs)) continue;
-      if (nowMs < lease.changedAtMs + LEASE_KEPT_MS) continue;
-      this.leaseTable.drop(lease.name);
+      if (nowMs < lease.changedAtMs + IDLE_LEASE_RETENTION_MS) continue;
+      this.leaseTable.remove(lease.name);
     }
   }
 }
 
-function dropStepAtMs(step: StepLedger): number {
-  if (step.closed !== undefined) return step.closedAtMs + CLOSED_STEP_KEPT_MS;
+function findStepExpiryMs(step: StepLedger): number {
+  if (step.closed !== undefined)
+    return step.closedAtMs + CLOSED_STEP_RETENTION_MS;
   const {openedAtMs, req} = step.opening;
-  return openedAtMs + req.timeoutMs + OVERDUE_STEP_KEPT_MS;
+  return openedAtMs + req.timeoutMs + OVERDUE_STEP_RETENTION_MS;
 }
--- a/packages/core/src/ledger/writer_table.ts
+++ b/packages/core/src/ledger/writer_table.ts
@@ -6,7 +6,9 @@
 export type WriterEntry = readonly [string, number, number];
 
 /** Names the writer of a stamp. */
-export function nameWriter(stamp: Pick<Stamp, 'vm' | 'incarnation'>): string {
+export function buildWriterKey(
+  stamp: Pick<Stamp, 'vm' | 'incarnation'>,
+): string {
   return `${stamp.vm}/${stamp.incarnation}`;
 }
 
@@ -29,16 +31,16 @@
   }
 
   /** Whether this is the first copy of the record; remembers it. */
-  admit(stamp: Stamp, nowMs: number): boolean {
-    const key = nameWriter(stamp);
-    const known = this.highest.get(key);
-    if (known !== undefined && stamp.seq <= known.seq) return false;
+  recordIfNew(stamp: Stamp, nowMs: number): boolean {
+    const key = buildWriterKey(stamp);
+    const existing = this.highest.get(key);
+    if (existing !== undefined && stamp.seq <= existing.seq) return false;
     this.highest.set(key, {seq: stamp.seq, seenAtMs: nowMs});
     return true;
   }
 
   /** Highest number of a writer; 0 for none. */
-  highestOf(writer: string): number {
+  highestSeqOf(writer: string): number {
     return this.highest.get(writer)?.seq ?? 0;
   }
 
--- a/packages/core/src/membership/__tests__/membership.spec.ts
+++ b/packages/core/src/membership/__tests__/membership.spec.ts
@@ -26,7 +26,7 @@
 }
 
 /** The greatest number of messages that any VM sends in a quiet second. */
-function measureMessages(network: MembershipNetwork): number {
+function measureMessageRate(network: MembershipNetwork): number {
   const before = network.nodes.map(node => node.sent);
   network.run(2000);
   return Math.max(...network.nodes.map((n, i) => (n.sent - before[i]) / 2));
@@ -41,7 +41,7 @@
     const dataCentres = size === 13 ? 4 : 9;
     const network = new MembershipNetwork({vms: size, dataCentres, seed: SEED});
     network.run(SETTLE_MS);
-    t.true(measureMessages(network) <= MAX_MESSAGES_PER_SECOND);
+    t.true(measureMessageRate(network) <= MAX_MESSAGES_PER_SECOND);
     network.silenceSome(20);
     const reader = network.nodes[5];
     reader.configNext = 8;
@@ -166,33 +166,33 @@
   t.is(network.silent.size, 0);
 });
 
-function lastLoad(node: Node, teller: Node): unknown {
+function findLastLoad(node: Node, reporter: Node): unknown {
   return node.told
-    .filter(a => a.kind === 'peer_load' && a.vm === teller.vm.id)
+    .filter(a => a.kind === 'peer_load' && a.vm === reporter.vm.id)
     .at(-1);
 }
 
 test('load, crashes and silent endpoints reach the other VMs', t => {
   const network = new MembershipNetwork({vms: 13, dataCentres: 3, seed: SEED});
   network.run(SETTLE_MS);
-  const [teller, ...others] = network.nodes;
+  const [reporter, ...others] = network.nodes;
   const endpoint = 'worker-3' as EndpointId;
   const inFlight = new Map([[endpoint, 7]]);
-  network.give(teller, {kind: 'own_load', inFlight});
-  network.give(teller, {kind: 'own_suspects', fingerprints: ['f1']});
-  network.give(teller, {kind: 'own_silent_endpoint', endpoint});
+  network.give(reporter, {kind: 'own_load', inFlight});
+  network.give(reporter, {kind: 'own_suspects', fingerprints: ['f1']});
+  network.give(reporter, {kind: 'own_silent_endpoint', endpoint});
   network.run(3000);
-  const told = (kind: string) =>
+  const listReceivers = (kind: string) =>
     others.filter(node => node.told.some(action => action.kind === kind));
-  t.is(told('suspects').length, 12);
-  t.is(told('silent_endpoint').length, 12);
-  const loads = others.map(node => lastLoad(node, teller));
-  const expected = {kind: 'peer_load', vm: teller.vm.id, inFlight};
+  t.is(listReceivers('suspects').length, 12);
+  t.is(listReceivers('silent_endpoint').length, 12);
+  const loads = others.map(node => findLastLoad(node, reporter));
+  const expected = {kind: 'peer_load', vm: reporter.vm.id, inFlight};
   for (const load of loads) t.deepEqual(load as unknown, expected);
-  teller.up = false;
+  reporter.up = false;
   network.run(FAILURE_BOUND_MS);
   for (const node of others) {
-    const last = lastLoad(node, teller);
+    const last = findLastLoad(node, reporter);
     t.deepEqual(last as unknown, {...expected, inFlight: new Map()});
   }
 });
--- a/packages/core/src/membership/contact.ts
+++ b/packages/core/src/membership/contact.ts
@@ -14,51 +14,51 @@
 export type ProbeStep = 'ping' | 'relink' | 'indirect' | 'suspect' | 'retry';
 
 export class Contact {
-  lastHeardMs: number;
+  lastReceivedMs: number;
   /** Last payload received, or sent unasked. */
-  private exchangedAtMs: number;
+  private lastPayloadMs: number;
   /** Offset of the first config record that the VM was last known to lack. */
   configNext = 0;
-  received: InFlight = new Map();
+  peerInFlight: InFlight = new Map();
   encoder = new LoadDeltaEncoder();
   readonly outbox = new Outbox();
-  private toldSelf: Member | undefined;
-  private stage: ProbeStage = 'none';
-  private startedMs = 0;
+  private sentSelf: Member | undefined;
+  private probeStage: ProbeStage = 'none';
+  private probeStartedMs = 0;
   private lastPingMs = 0;
 
   constructor(
     nowMs: number,
     /** Of two VMs that probe each other one waits a little, so that one asks. */
-    private readonly patienceMs: number,
+    private readonly probeDelayMs: number,
   ) {
     // A contact made by the VM list alone is probed at once.
-    this.lastHeardMs = nowMs - MEMBERSHIP_TIMING.periodMs;
-    this.exchangedAtMs = this.lastHeardMs;
+    this.lastReceivedMs = nowMs - MEMBERSHIP_TIMING.probePeriodMs;
+    this.lastPayloadMs = this.lastReceivedMs;
   }
 
-  hear(nowMs: number): void {
-    this.lastHeardMs = nowMs;
-    this.stage = 'none';
+  recordMessage(nowMs: number): void {
+    this.lastReceivedMs = nowMs;
+    this.probeStage = 'none';
   }
 
   /** A payload came: the next one is due after a period. */
-  exchange(nowMs: number): void {
-    this.exchangedAtMs = nowMs;
+  recordPayload(nowMs: number): void {
+    this.lastPayloadMs = nowMs;
   }
 
   /** `self`, unless this connection has carried it as it is. */
-  introduce(self: Member): Member | undefined {
-    if (this.toldSelf === self) return undefined;
-    this.toldSelf = self;
+  takeUnsentSelf(self: Member): Member | undefined {
+    if (this.sentSelf === self) return undefined;
+    this.sentSelf = self;
     return self;
   }
 
   /** Forgets what the last connection was told, for a new one has begun. */
-  resetLink(nowMs: number): void {
+  resetConnection(nowMs: number): void {
     this.encoder = new LoadDeltaEncoder();
-    this.outbox.repeat(nowMs);
-    this.toldSelf = undefined;
+    this.outbox.requeueRecent(nowMs);
+    this.sentSelf = undefined;
   }
 
   /**
@@ -67,35 +67,42 @@
    * silence first costs the connection, then others are asked, and only then is
    * the VM itself doubted.
    */
-  advance(nowMs: number): ProbeStep | undefined {
+  advanceProbe(nowMs: number): ProbeStep | undefined {
     const timing = MEMBERSHIP_TIMING;
-    const waitedMs = nowMs - this.startedMs;
-    switch (this.stage) {
+    const waitedMs = nowMs - this.probeStartedMs;
+    switch (this.probeStage) {
       case 'none':
-        if (nowMs - this.exchangedAtMs < timing.periodMs + this.patienceMs) {
+        if (
+          nowMs - this.lastPayloadMs <
+          timing.probePeriodMs + this.probeDelayMs
+        ) {
           return undefined;
         }
-        this.startedMs = nowMs;
-        return this.enter('asked', 'ping', nowMs);
+        this.probeStartedMs = nowMs;
+        return this.enterStage('asked', 'ping', nowMs);
       case 'asked':
         if (waitedMs < timing.relinkAfterMs) return undefined;
-        return this.enter('relinked', 'relink', nowMs);
+        return this.enterStage('relinked', 'relink', nowMs);
       case 'relinked':
         if (waitedMs < timing.indirectAfterMs) return undefined;
-        return this.enter('indirect', 'indirect', nowMs);
+        return this.enterStage('indirect', 'indirect', nowMs);
       case 'indirect':
         if (waitedMs < timing.suspectAfterMs) return undefined;
-        return this.enter('given_up', 'suspect', nowMs);
+        return this.enterStage('given_up', 'suspect', nowMs);
       case 'given_up':
-        if (nowMs - this.lastPingMs < timing.periodMs) return undefined;
-        return this.enter('given_up', 'retry', nowMs);
+        if (nowMs - this.lastPingMs < timing.probePeriodMs) return undefined;
+        return this.enterStage('given_up', 'retry', nowMs);
     }
   }
 
-  private enter(stage: ProbeStage, step: ProbeStep, nowMs: number): ProbeStep {
-    this.stage = stage;
+  private enterStage(
+    stage: ProbeStage,
+    step: ProbeStep,
+    nowMs: number,
+  ): ProbeStep {
+    this.probeStage = stage;
     this.lastPingMs = nowMs;
-    this.exchangedAtMs = nowMs;
+    this.lastPayloadMs = nowMs;
     return step;
   }
 }
--- a/packages/core/src/membership/contact_table.ts
+++ b/packages/core/src/membership/contact_table.ts
@@ -9,14 +9,14 @@
 
 export class ContactTable {
   private readonly contacts = new Map<VmId, Contact>();
-  private chosen: readonly VmId[] = [];
-  private isViewStale = true;
+  private neighbourIds: readonly VmId[] = [];
+  private areNeighboursStale = true;
 
   constructor(private readonly self: VmId) {}
 
   /** The VMs that this one probes. */
   get neighbours(): readonly VmId[] {
-    return this.chosen;
+    return this.neighbourIds;
   }
 
   get(id: VmId): Contact | undefined {
@@ -28,13 +28,13 @@
   }
 
   /** The contact, made if there is room; neighbours always find some. */
-  touch(id: VmId, nowMs: number): Contact | undefined {
-    const held = this.contacts.get(id);
-    if (held) return held;
+  getOrCreate(id: VmId, nowMs: number): Contact | undefined {
+    const existing = this.contacts.get(id);
+    if (existing) return existing;
     const isFull = this.contacts.size >= MEMBERSHIP_LIMITS.contacts;
-    if (isFull && !this.chosen.includes(id)) return undefined;
-    const patienceMs = id > this.self ? MEMBERSHIP_TIMING.patienceMs : 0;
-    const contact = new Contact(nowMs, patienceMs);
+    if (isFull && !this.neighbourIds.includes(id)) return undefined;
+    const probeDelayMs = id > this.self ? MEMBERSHIP_TIMING.probeDelayMs : 0;
+    const contact = new Contact(nowMs, probeDelayMs);
     this.contacts.set(id, contact);
     return contact;
   }
@@ -47,46 +47,50 @@
   }
 
   /** To be called when a VM came, left or changed its state. */
-  markViewStale(): void {
-    this.isViewStale = true;
+  markNeighboursStale(): void {
+    this.areNeighboursStale = true;
   }
 
   /** Drops idle contacts and chooses neighbours anew if VMs changed. */
-  refresh(self: Member, list: () => readonly Member[], nowMs: number): void {
+  refresh(
+    self: Member,
+    listMembers: () => readonly Member[],
+    nowMs: number,
+  ): void {
     this.dropIdle(nowMs);
-    if (!this.isViewStale) return;
-    this.isViewStale = false;
-    const live = list().filter(member => member.state !== 'failed');
-    this.chosen = selectNeighbours(self, live);
+    if (!this.areNeighboursStale) return;
+    this.areNeighboursStale = false;
+    const live = listMembers().filter(member => member.state !== 'failed');
+    this.neighbourIds = selectNeighbours(self, live);
   }
 
   /** Every contact gets a whole new probe. */
   restartProbes(nowMs: number): void {
     for (const contact of this.contacts.values()) {
-      contact.hear(nowMs - MEMBERSHIP_TIMING.periodMs);
+      contact.recordMessage(nowMs - MEMBERSHIP_TIMING.probePeriodMs);
     }
   }
 
   /** Has all contacts told but the one that the news came from. */
-  tell(rumour: Rumour, source?: VmId): void {
+  queueRumour(rumour: Rumour, source?: VmId): void {
     for (const [id, contact] of this.contacts) {
       if (id !== source) contact.outbox.add(rumour);
     }
   }
 
   /** Contacts known to hold config records past `offset`, last heard first. */
-  listAhead(offset: number): readonly VmId[] {
+  listWithConfigPast(offset: number): readonly VmId[] {
     return [...this.contacts]
       .filter(([, contact]) => contact.configNext > offset)
-      .sort(([, a], [, b]) => b.lastHeardMs - a.lastHeardMs)
+      .sort(([, a], [, b]) => b.lastReceivedMs - a.lastReceivedMs)
       .map(([id]) => id);
   }
 
   private dropIdle(nowMs: number): void {
     for (const [id, contact] of this.contacts) {
-      const idleMs = nowMs - contact.lastHeardMs;
+      const idleMs = nowMs - contact.lastReceivedMs;
       if (idleMs < MEMBERSHIP_TIMING.contactIdleMs) continue;
-      if (!this.chosen.includes(id)) this.contacts.delete(id);
+      if (!this.neighbourIds.includes(id)) this.contacts.delete(id);
     }
   }
 }
--- a/packages/core/src/membership/load_digest.ts
+++ b/packages/core/src/membership/load_digest.ts
@@ -11,24 +11,24 @@
 export type InFlight = ReadonlyMap<EndpointId, number>;
 
 /** Bounds what an error in the delta coding could last. */
-const FULL_EVERY_MS = 15_000;
+const FULL_INTERVAL_MS = 15_000;
 /** Most entries a message; the greatest changes go first, the rest next time. */
 const MAX_ENTRIES = 8;
 
 /** The sending side of one connection. */
 export class LoadDeltaEncoder {
   private sent = new Map<EndpointId, number>();
-  private fullAtMs = 0;
+  private nextFullAtMs = 0;
 
   /** What to tell now; nothing when nothing changed. */
   encode(current: InFlight, nowMs: number): LoadDelta | undefined {
-    const full = nowMs >= this.fullAtMs;
+    const full = nowMs >= this.nextFullAtMs;
     if (full) {
       this.sent = new Map();
-      this.fullAtMs = nowMs + FULL_EVERY_MS;
+      this.nextFullAtMs = nowMs + FULL_INTERVAL_MS;
     }
     const entries = this.listChanges(current);
-    for (const entry of entries) this.remember(entry);
+    for (const entry of entries) this.recordSent(entry);
     return full || entries.length > 0 ? {full, entries} : undefined;
   }
 
@@ -52,15 +52,15 @@
     return Math.abs(entry.inFlight - (this.sent.get(entry.endpoint) ?? 0));
   }
 
-  private remember(entry: LoadEntry): void {
+  private recordSent(entry: LoadEntry): void {
     if (entry.inFlight === 0) this.sent.delete(entry.endpoint);
     else this.sent.set(entry.endpoint, entry.inFlight);
   }
 }
 
 /** The receiving side: the sender's digest after `delta`. */
-export function applyLoadDelta(held: InFlight, delta: LoadDelta): InFlight {
-  const next = new Map(delta.full ? [] : held);
+export function applyLoadDelta(current: InFlight, delta: LoadDelta): InFlight {
+  const next = new Map(delta.full ? [] : current);
   for (const {endpoint, inFlight} of delta.entries) {
     if (inFlight === 0) next.delete(endpoint);
     else next.set(endpoint, inFlight);
--- a/packages/core/src/membership/member.ts
+++ b/packages/core/src/membership/member.ts
@@ -33,11 +33,13 @@
 }
 
 /** Whether `news` replaces `held`. A strict order: equal beliefs do not. */
-export function supersedes(news: Member, held: Member): boolean {
-  if (news.incarnation !== held.incarnation) {
-    return news.incarnation > held.incarnation;
+export function supersedes(update: Member, current: Member): boolean {
+  if (update.incarnation !== current.incarnation) {
+    return update.incarnation > current.incarnation;
   }
-  return MEMBER_STATES.indexOf(news.state) > MEMBER_STATES.indexOf(held.state);
+  return (
+    MEMBER_STATES.indexOf(update.state) > MEMBER_STATES.indexOf(current.state)
+  );
 }
 
 /** Whether the VM counts as one of those that share the work. */
--- a/packages/core/src/membership/directory.ts
+++ b/packages/core/src/membership/member_directory.ts
@@ -17,10 +17,10 @@
 /** `refreshed`: newer news of the same state. */
 export type MergeResult = 'ignored' | 'refreshed' | 'changed';
 
-export class Directory {
+export class MemberDirectory {
   private readonly entries = new Map<VmId, DirectoryEntry>();
-  private readonly suspects = new Set<VmId>();
-  private listed: ReadonlyMap<VmId, VmInfo> = new Map();
+  private readonly suspectIds = new Set<VmId>();
+  private listedVms: ReadonlyMap<VmId, VmInfo> = new Map();
 
   constructor(private readonly self: VmId) {}
 
@@ -33,7 +33,7 @@
   }
 
   /** Whether any VM not failed is known otherwise than from the VM list. */
-  hasHeard(): boolean {
+  hasConfirmedMember(): boolean {
     for (const {member} of this.entries.values()) {
       if (member.incarnation > 0 && member.state !== 'failed') return true;
     }
@@ -45,31 +45,31 @@
   }
 
   /** Takes `news` in if it is newer than what is held. */
-  merge(news: Member, nowMs: number): MergeResult {
-    const held = this.entries.get(news.id)?.member;
-    if (held && !supersedes(news, held)) return 'ignored';
-    if (!held && news.state === 'failed') return 'ignored';
-    const full = this.entries.size >= MEMBERSHIP_LIMITS.directory;
-    if (!held && full) return 'ignored';
-    this.entries.set(news.id, {member: news, sinceMs: nowMs});
-    if (news.state === 'suspect') this.suspects.add(news.id);
-    else this.suspects.delete(news.id);
-    return held?.state === news.state ? 'refreshed' : 'changed';
+  merge(update: Member, nowMs: number): MergeResult {
+    const current = this.entries.get(update.id)?.member;
+    if (current && !supersedes(update, current)) return 'ignored';
+    if (!current && update.state === 'failed') return 'ignored';
+    const isFull = this.entries.size >= MEMBERSHIP_LIMITS.directory;
+    if (!current && isFull) return 'ignored';
+    this.entries.set(update.id, {member: update, sinceMs: nowMs});
+    if (update.state === 'suspect') this.suspectIds.add(update.id);
+    else this.suspectIds.delete(update.id);
+    return current?.state === update.state ? 'refreshed' : 'changed';
   }
 
   /** Takes the VM list in; returns the beliefs whose state changed by it. */
-  applyList(vms: readonly VmInfo[], nowMs: number): readonly Member[] {
-    const before = this.listed;
-    this.listed = new Map(vms.map(vm => [vm.id, vm]));
-    const news = vms
+  applyVmList(vms: readonly VmInfo[], nowMs: number): readonly Member[] {
+    const previous = this.listedVms;
+    this.listedVms = new Map(vms.map(vm => [vm.id, vm]));
+    const updates = vms
       .filter(vm => vm.id !== this.self)
-      .map(vm => this.toNews(vm, before.get(vm.id)));
-    return news.filter(member => this.merge(member, nowMs) === 'changed');
+      .map(vm => this.toUpdate(vm, previous.get(vm.id)));
+    return updates.filter(member => this.merge(member, nowMs) === 'changed');
   }
 
   /** VMs suspected since `beforeMs` or longer. */
   listSuspectedSince(beforeMs: number): readonly Member[] {
-    return [...this.suspects]
+    return [...this.suspectIds]
       .map(id => this.entries.get(id)!)
       .filter(entry => entry.sinceMs <= beforeMs)
       .map(entry => entry.member);
@@ -77,17 +77,17 @@
 
   /** Gives every suspect its whole time again. */
   restartSuspicions(nowMs: number): void {
-    for (const id of this.suspects) {
+    for (const id of this.suspectIds) {
       const {member} = this.entries.get(id)!;
       this.entries.set(id, {member, sinceMs: nowMs});
     }
   }
 
   /** Drops VMs that failed before `beforeMs` and that the VM list does not name. */
-  forget(beforeMs: number): void {
+  dropFailed(beforeMs: number): void {
     for (const [id, {member, sinceMs}] of this.entries) {
-      const old = member.state === 'failed' && sinceMs <= beforeMs;
-      if (old && !this.listed.has(id)) this.entries.delete(id);
+      const isExpired = member.state === 'failed' && sinceMs <= beforeMs;
+      if (isExpired && !this.listedVms.has(id)) this.entries.delete(id);
     }
   }
 
@@ -96,10 +96,10 @@
    * It shows as a new VM that gets no work. Only the change to leaving counts,
    * and only against the incarnation known when it was seen.
    */
-  private toNews(vm: VmInfo, before: VmInfo | undefined): Member {
+  private toUpdate(vm: VmInfo, previous: VmInfo | undefined): Member {
     const {id, peerAddress, callerAddress, dataCentre} = vm;
-    const began = vm.state === 'leaving' && before?.state === 'live';
-    const incarnation = began ? (this.get(id)?.incarnation ?? 0) : 0;
+    const startedLeaving = vm.state === 'leaving' && previous?.state === 'live';
+    const incarnation = startedLeaving ? (this.get(id)?.incarnation ?? 0) : 0;
     const state = vm.state === 'leaving' ? 'leaving' : 'alive';
     return {
       id,
--- a/packages/core/src/membership/membership.ts
+++ b/packages/core/src/membership/membership.ts
@@ -18,7 +18,7 @@
 } from '../scheduling/random_bits.js';
 import type {Contact, ProbeStep} from './contact.js';
 import {ContactTable} from './contact_table.js';
-import {Directory} from './directory.js';
+import {MemberDirectory} from './member_directory.js';
 import type {GossipMessage, GossipPayload, Rumour} from './gossip_message.js';
 import {applyLoadDelta, InFlight} from './load_digest.js';
 import {isServing, Member, supersedes} from './member.js';
@@ -32,29 +32,29 @@
 import {RumourFilter} from './rumour_filter.js';
 
 /** One in so many messages without news carries a belief. */
-const FILLER_EVERY = 4;
+const FILLER_INTERVAL = 4;
 
 export class Membership {
   private self: Member;
-  private readonly directory: Directory;
+  private readonly directory: MemberDirectory;
   private readonly contacts: ContactTable;
   private readonly rumours = new RumourFilter();
   private readonly relays = new RelayTable();
   private readonly configs = new ConfigCatchUp();
   private readonly random: RandomBits;
   private inFlight: InFlight = new Map();
-  private servingStale = true;
-  private servingKey = '';
+  private isServingStale = true;
+  private lastServingKey = '';
   private seq = 0;
-  private seedTurn = 0;
-  private offsetPending = false;
-  private newsPending = false;
+  private nextSeedIndex = 0;
+  private isOffsetPending = false;
+  private hasUrgentNews = false;
   private wantsMembers = true;
   private lastTickMs: number;
-  private lastHeardMs: number;
-  private dialAtMs: number;
-  private reviveAtMs: number;
-  private announceAtMs = 0;
+  private lastReceivedMs: number;
+  private nextDialAtMs: number;
+  private nextFailedProbeAtMs: number;
+  private nextAnnounceAtMs = 0;
   private actions: MembershipAction[] = [];
 
   /** `seed` is random bits; equal seeds and events give equal actions. */
@@ -64,13 +64,13 @@
     nowMs: number,
   ) {
     this.self = cfg.self;
-    this.directory = new Directory(cfg.self.id);
+    this.directory = new MemberDirectory(cfg.self.id);
     this.contacts = new ContactTable(cfg.self.id);
     this.random = createRandomBits(seed);
     this.lastTickMs = nowMs;
-    this.lastHeardMs = nowMs;
-    this.dialAtMs = nowMs;
-    this.reviveAtMs = nowMs + MEMBERSHIP_TIMING.reviveEveryMs;
+    this.lastReceivedMs = nowMs;
+    this.nextDialAtMs = nowMs;
+    this.nextFailedProbeAtMs = nowMs + MEMBERSHIP_TIMING.probeFailedEveryMs;
   }
 
   /** Takes one event at `nowMs` (Unix ms) and returns what is to be done, in order. */
@@ -98,10 +98,10 @@
         return this.receive(event.from, event.message, nowMs);
       case 'linked':
         this.merge(event.member, nowMs);
-        return this.contacts.get(event.member.id)?.resetLink(nowMs);
+        return this.contacts.get(event.member.id)?.resetConnection(nowMs);
       case 'vm_list':
-        for (const member of this.directory.applyList(event.vms, nowMs)) {
-          this.noteChange(member);
+        for (const member of this.directory.applyVmList(event.vms, nowMs)) {
+          this.onMemberChange(member);
         }
         return;
       case 'own_load':
@@ -109,17 +109,17 @@
         return;
       case 'own_suspects':
         for (const fingerprint of event.fingerprints) {
-          this.spread({kind: 'suspect_request', fingerprint});
+          this.spreadIfNew({kind: 'suspect_request', fingerprint});
         }
         return;
       case 'own_silent_endpoint': {
         const {endpoint} = event;
-        this.spread({kind: 'silent_endpoint', endpoint, seenAtMs: nowMs});
+        this.spreadIfNew({kind: 'silent_endpoint', endpoint, seenAtMs: nowMs});
         return;
       }
       case 'config_offset':
-        if (this.configs.advance(event.next)) this.offsetPending = true;
-        return this.announce(nowMs);
+        if (this.configs.advance(event.next)) this.isOffsetPending = true;
+        return this.announceIfDue(nowMs);
       case 'config_read': {
         const {to, transfer} = event;
         return this.send(to, {kind: 'config_transfer', transfer});
@@ -131,16 +131,16 @@
 
   private tick(nowMs: number): void {
     if (nowMs - this.lastTickMs > MEMBERSHIP_TIMING.pausedAfterMs) {
-      this.resume(nowMs);
+      this.recoverFromPause(nowMs);
     }
     this.lastTickMs = nowMs;
     this.contacts.refresh(this.self, () => this.directory.list(), nowMs);
     for (const id of this.contacts.neighbours) this.probe(id, nowMs);
     this.failSuspects(nowMs);
-    this.revive(nowMs);
+    this.probeFailedMember(nowMs);
     this.dialSeeds(nowMs);
     this.requestConfig(nowMs);
-    this.announce(nowMs);
+    this.announceIfDue(nowMs);
   }
 
   /**
@@ -148,21 +148,21 @@
    * it would blame its neighbours for its own silence and declare live VMs
    * failed; so every neighbour gets a whole new probe.
    */
-  private resume(nowMs: number): void {
+  private recoverFromPause(nowMs: number): void {
     this.contacts.restartProbes(nowMs);
     this.directory.restartSuspicions(nowMs);
-    this.lastHeardMs = nowMs;
+    this.lastReceivedMs = nowMs;
   }
 
   private probe(id: VmId, nowMs: number): void {
-    const contact = this.contacts.touch(id, nowMs);
-    const step = contact?.advance(nowMs);
+    const contact = this.contacts.getOrCreate(id, nowMs);
+    const step = contact?.advanceProbe(nowMs);
     if (!contact || !step) return;
-    this.takeProbeStep(id, step, nowMs);
+    this.performProbeStep(id, step, nowMs);
     if (step !== 'suspect') this.ping(id, nowMs);
   }
 
-  private takeProbeStep(id: VmId, step: ProbeStep, nowMs: number): void {
+  private performProbeStep(id: VmId, step: ProbeStep, nowMs: number): void {
     switch (step) {
       case 'ping':
         return;
@@ -171,13 +171,13 @@
         this.actions.push({kind: 'relink', vm: id});
         return;
       case 'indirect':
-        return this.askHelpers(id);
+        return this.requestIndirectProbes(id);
       case 'suspect':
         return this.suspect(id, nowMs);
     }
   }
 
-  private askHelpers(target: VmId): void {
+  private requestIndirectProbes(target: VmId): void {
     const address = this.directory.get(target)!.peerAddress;
     const others = this.contacts.neighbours.filter(id => id !== target);
     const helpers = pickRandomItems(
@@ -200,21 +200,21 @@
 
   private failSuspects(nowMs: number): void {
     const timing = MEMBERSHIP_TIMING;
-    const silentMs = nowMs - this.lastHeardMs;
+    const silentMs = nowMs - this.lastReceivedMs;
     // A VM cut off from all sees everybody silent. It shows as a VM that takes
     // the whole service for its own and sends every endpoint the load of all.
-    const isolated = silentMs > timing.isolatedAfterMs;
-    const waitMs = isolated ? timing.failAfterIsolatedMs : timing.failAfterMs;
+    const isIsolated = silentMs > timing.isolatedAfterMs;
+    const waitMs = isIsolated ? timing.failAfterIsolatedMs : timing.failAfterMs;
     for (const member of this.directory.listSuspectedSince(nowMs - waitMs)) {
       this.merge({...member, state: 'failed'}, nowMs);
     }
   }
 
   /** Probes one failed VM now and then: a cut between regions heals unannounced. */
-  private revive(nowMs: number): void {
-    if (nowMs < this.reviveAtMs) return;
-    this.reviveAtMs = nowMs + MEMBERSHIP_TIMING.reviveEveryMs;
-    this.directory.forget(nowMs - MEMBERSHIP_TIMING.forgetAfterMs);
+  private probeFailedMember(nowMs: number): void {
+    if (nowMs < this.nextFailedProbeAtMs) return;
+    this.nextFailedProbeAtMs = nowMs + MEMBERSHIP_TIMING.probeFailedEveryMs;
+    this.directory.dropFailed(nowMs - MEMBERSHIP_TIMING.forgetAfterMs);
     const failed = this.directory.list().filter(m => m.state === 'failed');
     for (const {id} of pickRandomItems(this.random, failed, 1))
       this.ping(id, nowMs);
@@ -222,29 +222,29 @@
 
   private dialSeeds(nowMs: number): void {
     const {seeds} = this.cfg;
-    if (nowMs < this.dialAtMs || seeds.length === 0) return;
-    this.dialAtMs = nowMs + MEMBERSHIP_TIMING.dialEveryMs;
-    if (this.directory.hasHeard()) return;
-    const address = seeds[this.seedTurn++ % seeds.length];
+    if (nowMs < this.nextDialAtMs || seeds.length === 0) return;
+    this.nextDialAtMs = nowMs + MEMBERSHIP_TIMING.dialEveryMs;
+    if (this.directory.hasConfirmedMember()) return;
+    const address = seeds[this.nextSeedIndex++ % seeds.length];
     if (address !== this.self.peerAddress) {
       this.actions.push({kind: 'dial', address});
     }
   }
 
   private receive(from: VmId, message: GossipMessage, nowMs: number): void {
-    this.lastHeardMs = nowMs;
-    this.contacts.touch(from, nowMs)?.hear(nowMs);
-    this.answerRelay(from, nowMs);
+    this.lastReceivedMs = nowMs;
+    this.contacts.getOrCreate(from, nowMs)?.recordMessage(nowMs);
+    this.reportRelayedProbe(from, nowMs);
     switch (message.kind) {
       case 'ping':
-        this.takePayload(from, message.payload, nowMs);
+        this.applyPayload(from, message.payload, nowMs);
         return this.acknowledge(from, message, nowMs);
       case 'ack':
-        return this.takePayload(from, message.payload, nowMs);
+        return this.applyPayload(from, message.payload, nowMs);
       case 'probe_request':
-        return this.relay(from, message.target, nowMs);
+        return this.relayProbe(from, message.target, nowMs);
       case 'probe_heard':
-        return this.contacts.get(message.target)?.hear(nowMs);
+        return this.contacts.get(message.target)?.recordMessage(nowMs);
       case 'members':
         this.wantsMembers = false;
         for (const member of message.members) this.merge(member, nowMs);
@@ -276,18 +276,22 @@
     }
   }
 
-  private takePayload(from: VmId, payload: GossipPayload, nowMs: number): void {
+  private applyPayload(
+    from: VmId,
+    payload: GossipPayload,
+    nowMs: number,
+  ): void {
     if (payload.self) this.merge(payload.self, nowMs);
     for (const rumour of payload.rumours) {
-      this.hearRumour(rumour, from, nowMs);
+      this.applyRumour(rumour, from, nowMs);
     }
-    const contact = this.contacts.touch(from, nowMs);
+    const contact = this.contacts.getOrCreate(from, nowMs);
     if (!contact) return;
-    contact.exchange(nowMs);
+    contact.recordPayload(nowMs);
     contact.configNext = payload.configNext;
     if (payload.load) {
-      contact.received = applyLoadDelta(contact.received, payload.load);
-      const inFlight = contact.received;
+      contact.peerInFlight = applyLoadDelta(contact.peerInFlight, payload.load);
+      const inFlight = contact.peerInFlight;
       this.actions.push({kind: 'peer_load', vm: from, inFlight});
     }
     if (this.configs.recordPeerNext(payload.configNext)) {
@@ -296,13 +300,13 @@
     this.requestConfig(nowMs);
   }
 
-  private hearRumour(rumour: Rumour, from: VmId, nowMs: number): void {
+  private applyRumour(rumour: Rumour, from: VmId, nowMs: number): void {
     if (rumour.kind === 'member') {
-      this.correct(rumour.member, from);
+      this.sendCorrection(rumour.member, from);
       this.merge(rumour.member, nowMs, from);
       return;
     }
-    if (!this.spread(rumour, from)) return;
+    if (!this.spreadIfNew(rumour, from)) return;
     if (rumour.kind === 'suspect_request') {
       const fingerprints = [rumour.fingerprint];
       this.actions.push({kind: 'suspects', fingerprints});
@@ -316,31 +320,33 @@
    * a VM known to some from the VM list alone is failed among these, while those
    * who heard of it hold their newer belief and never learn of the failure.
    */
-  private correct(news: Member, source: VmId): void {
-    const held = this.directory.get(news.id);
-    if (!held || held.incarnation <= news.incarnation) return;
-    const rumour = {kind: 'member', member: held} as const;
+  private sendCorrection(update: Member, source: VmId): void {
+    const current = this.directory.get(update.id);
+    if (!current || current.incarnation <= update.incarnation) return;
+    const rumour = {kind: 'member', member: current} as const;
     this.contacts.get(source)?.outbox.add(rumour);
   }
 
   /** Passes news on that is not about a VM; false when it was known. */
-  private spread(rumour: Rumour, source?: VmId): boolean {
-    if (!this.rumours.note(rumour)) return false;
+  private spreadIfNew(rumour: Rumour, source?: VmId): boolean {
+    if (!this.rumours.recordIfNew(rumour)) return false;
     // A resent request that crashes endpoints must not outrun the warning.
-    this.newsPending = true;
-    this.contacts.tell(rumour, source);
+    this.hasUrgentNews = true;
+    this.contacts.queueRumour(rumour, source);
     return true;
   }
 
-  private merge(news: Member, nowMs: number, source?: VmId): void {
-    if (news.id === this.self.id) return this.refute(news);
-    const known = this.directory.get(news.id);
-    const result = this.directory.merge(news, nowMs);
+  private merge(update: Member, nowMs: number, source?: VmId): void {
+    if (update.id === this.self.id) return this.refute(update);
+    const previous = this.directory.get(update.id);
+    const result = this.directory.merge(update, nowMs);
     if (result === 'ignored') return;
     // That a VM on the VM list was heard of is no news to anybody.
-    const first = known?.incarnation === 0 && result === 'refreshed';
-    if (!first) this.contacts.tell({kind: 'member', member: news}, source);
-    if (result === 'changed') this.noteChange(news);
+    const isFirstContact =
+      previous?.incarnation === 0 && result === 'refreshed';
+    if (!isFirstContact)
+      this.contacts.queueRumour({kind: 'member', member: update}, source);
+    if (result === 'changed') this.onMemberChange(update);
   }
 
   /**
@@ -348,31 +354,31 @@
    * life of it, as after its clock was set back. A higher incarnation overrides
    * both, and only this VM may raise it.
    */
-  private refute(news: Member): void {
-    if (!supersedes(news, this.self)) return;
-    this.self = {...this.self, incarnation: news.incarnation + 1};
-    this.newsPending = true;
-    this.contacts.tell({kind: 'member', member: this.self});
+  private refute(update: Member): void {
+    if (!supersedes(update, this.self)) return;
+    this.self = {...this.self, incarnation: update.incarnation + 1};
+    this.hasUrgentNews = true;
+    this.contacts.queueRumour({kind: 'member', member: this.self});
   }
 
-  private noteChange(member: Member): void {
-    this.contacts.markViewStale();
-    this.servingStale = true;
-    if (member.state !== 'alive') this.newsPending = true;
+  private onMemberChange(member: Member): void {
+    this.contacts.markNeighboursStale();
+    this.isServingStale = true;
+    if (member.state !== 'alive') this.hasUrgentNews = true;
     if (member.state !== 'failed') return;
     const contact = this.contacts.remove(member.id);
-    if (!contact || contact.received.size === 0) return;
+    if (!contact || contact.peerInFlight.size === 0) return;
     const inFlight: InFlight = new Map();
     this.actions.push({kind: 'peer_load', vm: member.id, inFlight});
   }
 
-  private relay(requester: VmId, target: VmId, nowMs: number): void {
+  private relayProbe(requester: VmId, target: VmId, nowMs: number): void {
     this.relays.add(requester, target, nowMs);
     this.ping(target, nowMs);
   }
 
-  private answerRelay(target: VmId, nowMs: number): void {
-    const requester = this.relays.take(target, nowMs);
+  private reportRelayedProbe(target: VmId, nowMs: number): void {
+    const requester = this.relays.takeRequester(target, nowMs);
     if (!requester) return;
     this.send(requester, {kind: 'probe_heard', target});
   }
@@ -380,33 +386,33 @@
   private requestConfig(nowMs: number): void {
     const from = this.configs.ownNext();
     if (this.configs.highestSeenNext() <= from) return;
-    const ahead = this.contacts.listAhead(from);
+    const ahead = this.contacts.listWithConfigPast(from);
     const source = this.configs.chooseSource(ahead, nowMs);
     if (source) this.send(source, {kind: 'config_request', from});
   }
 
   /** Does not wait for the next probe with what others must soon know. */
-  private announce(nowMs: number): void {
-    const due = this.offsetPending || this.newsPending;
-    if (!due || nowMs < this.announceAtMs) return;
-    this.announceAtMs = nowMs + MEMBERSHIP_TIMING.announceEveryMs;
+  private announceIfDue(nowMs: number): void {
+    const isDue = this.isOffsetPending || this.hasUrgentNews;
+    if (!isDue || nowMs < this.nextAnnounceAtMs) return;
+    this.nextAnnounceAtMs = nowMs + MEMBERSHIP_TIMING.announceEveryMs;
     const next = this.configs.ownNext();
     for (const [id, contact] of this.contacts.entries()) {
-      const behind = this.offsetPending && contact.configNext < next;
-      if (this.newsPending || behind) this.ping(id, nowMs);
+      const isBehind = this.isOffsetPending && contact.configNext < next;
+      if (this.hasUrgentNews || isBehind) this.ping(id, nowMs);
     }
-    this.offsetPending = false;
-    this.newsPending = false;
+    this.isOffsetPending = false;
+    this.hasUrgentNews = false;
   }
 
   private leave(nowMs: number): void {
     if (this.self.state === 'leaving') return;
     const incarnation = this.self.incarnation + 1;
     this.self = {...this.self, incarnation, state: 'leaving'};
-    this.servingStale = true;
-    this.contacts.tell({kind: 'member', member: this.self});
-    this.newsPending = true;
-    this.announce(nowMs);
+    this.isServingStale = true;
+    this.contacts.queueRumour({kind: 'member', member: this.self});
+    this.hasUrgentNews = true;
+    this.announceIfDue(nowMs);
   }
 
   private ping(id: VmId, nowMs: number): void {
@@ -415,9 +421,9 @@
   }
 
   private buildPayload(to: VmId, nowMs: number): GossipPayload {
-    const contact = this.contacts.touch(to, nowMs);
+    const contact = this.contacts.getOrCreate(to, nowMs);
     const load = contact?.encoder.encode(this.inFlight, nowMs);
-    const self = contact ? contact.introduce(this.self) : this.self;
+    const self = contact ? contact.takeUnsentSelf(this.self) : this.self;
     return {
       ...(self && {self}),
       rumours: this.chooseRumours(to, contact, nowMs),
@@ -432,14 +438,16 @@
     contact: Contact | undefined,
     nowMs: number,
   ): readonly Rumour[] {
-    const news = contact?.outbox.take(nowMs) ?? [];
-    const held = this.directory.get(to);
+    const pending = contact?.outbox.takeBatch(nowMs) ?? [];
+    const recipient = this.directory.get(to);
     // A VM that is doubted hears of it, so that it can refute at once.
-    const doubted = held?.state === 'suspect' || held?.state === 'failed';
-    if (doubted) return [{kind: 'member', member: held}, ...news];
-    const idle = news.length === 0 && this.seq % FILLER_EVERY === 0;
-    const filler = idle ? this.chooseFiller(to) : undefined;
-    return filler ? [{kind: 'member', member: filler}] : news;
+    const isDoubted =
+      recipient?.state === 'suspect' || recipient?.state === 'failed';
+    if (isDoubted) return [{kind: 'member', member: recipient}, ...pending];
+    const isFillerDue =
+      pending.length === 0 && this.seq % FILLER_INTERVAL === 0;
+    const filler = isFillerDue ? this.chooseFiller(to) : undefined;
+    return filler ? [{kind: 'member', member: filler}] : pending;
   }
 
   /** When there is no news, any belief: it mends what was ever missed. */
@@ -457,15 +465,15 @@
   }
 
   private emitServing(): void {
-    if (!this.servingStale) return;
-    this.servingStale = false;
+    if (!this.isServingStale) return;
+    this.isServingStale = false;
     const vms = this.listMembers()
       .filter(isServing)
       .map(member => member.id)
       .sort();
     const key = vms.join();
-    if (key === this.servingKey) return;
-    this.servingKey = key;
+    if (key === this.lastServingKey) return;
+    this.lastServingKey = key;
     this.actions.push({kind: 'vms', vms});
   }
 }
--- a/packages/core/src/membership/membership_timing.ts
+++ b/packages/core/src/membership/membership_timing.ts
@@ -2,9 +2,9 @@
 
 export const MEMBERSHIP_TIMING = {
   /** A neighbour not heard for this long is probed. */
-  periodMs: 1000,
+  probePeriodMs: 1000,
   /** The second of two VMs that probe each other waits this much longer. */
-  patienceMs: 300,
+  probeDelayMs: 300,
   /** Probe to a new connection: over ten times the slowest link between regions. */
   relinkAfterMs: 600,
   /** Probe to asking others. */
@@ -20,7 +20,7 @@
   /** A gap between ticks that only a pause of this VM explains. */
   pausedAfterMs: 1000,
   /** One failed VM in turn is probed this often, so that a healed cut is seen. */
-  reviveEveryMs: 2000,
+  probeFailedEveryMs: 2000,
   /** Failed VMs that the VM list does not name are kept this long. */
   forgetAfterMs: 600_000,
   /** Seeds are dialled this often while no other VM is known. */
@@ -30,7 +30,7 @@
   /** An unanswered request for config records goes to another VM after this. */
   configRetryMs: 700,
   /** News told this long before a connection was replaced is told again. */
-  repeatMs: 3000,
+  resendWindowMs: 3000,
   /** At most one announcement of urgent news in this time. */
   announceEveryMs: 300,
 } as const;
--- a/packages/core/src/membership/neighbour_view.ts
+++ b/packages/core/src/membership/neighbour_view.ts
@@ -20,7 +20,7 @@
 const FNV_PRIME = 0x01000193;
 
 /** A VM's place on the ring. */
-export function hashId(id: VmId): number {
+export function computeRingPosition(id: VmId): number {
   let hash = FNV_OFFSET;
   for (let i = 0; i < id.length; i++) {
     hash = Math.imul(hash ^ id.charCodeAt(i), FNV_PRIME);
@@ -36,19 +36,22 @@
   others: readonly Member[],
 ): readonly VmId[] {
   if (others.length <= MAX_NEIGHBOURS) return others.map(other => other.id);
-  const start = hashId(self.id);
+  const start = computeRingPosition(self.id);
   const ring = others
-    .map(member => ({member, distance: (hashId(member.id) - start) >>> 0}))
+    .map(member => ({
+      member,
+      distance: (computeRingPosition(member.id) - start) >>> 0,
+    }))
     .sort((a, b) => a.distance - b.distance || compareIds(a.member, b.member))
     .map(place => place.member);
   const local = ring.filter(other => other.dataCentre === self.dataCentre);
   const remote = ring.filter(other => other.dataCentre !== self.dataCentre);
   const near = local.slice(0, LOCAL_NEIGHBOURS);
-  const all = LOCAL_NEIGHBOURS + REMOTE_NEIGHBOURS;
-  const far = remote.slice(0, Math.max(REMOTE_NEIGHBOURS, all - near.length));
-  const spare = all - near.length - far.length;
-  const more = local.slice(near.length, near.length + Math.max(0, spare));
-  return [...near, ...far, ...more].map(member => member.id);
+  const total = LOCAL_NEIGHBOURS + REMOTE_NEIGHBOURS;
+  const far = remote.slice(0, Math.max(REMOTE_NEIGHBOURS, total - near.length));
+  const spare = total - near.length - far.length;
+  const extra = local.slice(near.length, near.length + Math.max(0, spare));
+  return [...near, ...far, ...extra].map(member => member.id);
 }
 
 function compareIds(a: Member, b: Member): number {
--- a/packages/core/src/membership/outbox.ts
+++ b/packages/core/src/membership/outbox.ts
@@ -7,14 +7,14 @@
 import type {Rumour} from './gossip_message.js';
 import {MEMBERSHIP_LIMITS, MEMBERSHIP_TIMING} from './membership_timing.js';
 
-interface ToldRumour {
+interface SentRumour {
   readonly rumour: Rumour;
-  readonly atMs: number;
+  readonly sentAtMs: number;
 }
 
 export class Outbox {
   private readonly pending = new Map<string, Rumour>();
-  private told: ToldRumour[] = [];
+  private sent: SentRumour[] = [];
 
   /** Newer news about the same subject replaces the older. */
   add(rumour: Rumour): void {
@@ -27,16 +27,16 @@
   }
 
   /** The share of one message. */
-  take(nowMs: number): readonly Rumour[] {
+  takeBatch(nowMs: number): readonly Rumour[] {
     if (this.pending.size === 0) return [];
     const chosen = [...this.pending.values()]
       .slice(-MEMBERSHIP_LIMITS.rumoursPerMessage)
       .reverse();
     for (const rumour of chosen) {
       this.pending.delete(toRumourKey(rumour));
-      this.told.push({rumour, atMs: nowMs});
+      this.sent.push({rumour, sentAtMs: nowMs});
     }
-    if (this.told.length > MEMBERSHIP_LIMITS.outbox) this.told.shift();
+    if (this.sent.length > MEMBERSHIP_LIMITS.outbox) this.sent.shift();
     return chosen;
   }
 
@@ -45,11 +45,11 @@
    * silent never arrived; it shows as a VM that misses a failure or a crash.
    * So all that was told since it can have gone silent is told again.
    */
-  repeat(nowMs: number): void {
-    const sinceMs = nowMs - MEMBERSHIP_TIMING.repeatMs;
-    const lost = this.told.filter(entry => entry.atMs >= sinceMs);
-    this.told = [];
-    for (const {rumour} of lost) {
+  requeueRecent(nowMs: number): void {
+    const sinceMs = nowMs - MEMBERSHIP_TIMING.resendWindowMs;
+    const recent = this.sent.filter(entry => entry.sentAtMs >= sinceMs);
+    this.sent = [];
+    for (const {rumour} of recent) {
       if (!this.pending.has(toRumourKey(rumour))) this.add(rumour);
     }
   }
--- a/packages/core/src/membership/relay_table.ts
+++ b/packages/core/src/membership/relay_table.ts
@@ -5,7 +5,7 @@
 
 interface Relay {
   readonly requester: VmId;
-  readonly untilMs: number;
+  readonly expiresAtMs: number;
 }
 
 export class RelayTable {
@@ -13,14 +13,14 @@
 
   add(requester: VmId, target: VmId, nowMs: number): void {
     if (this.relays.size >= MEMBERSHIP_LIMITS.relays) this.relays.clear();
-    const untilMs = nowMs + MEMBERSHIP_TIMING.suspectAfterMs;
-    this.relays.set(target, {requester, untilMs});
+    const expiresAtMs = nowMs + MEMBERSHIP_TIMING.suspectAfterMs;
+    this.relays.set(target, {requester, expiresAtMs: expiresAtMs});
   }
 
   /** Takes out who is to be told that `target` was heard, if in time. */
-  take(target: VmId, nowMs: number): VmId | undefined {
+  takeRequester(target: VmId, nowMs: number): VmId | undefined {
     const relay = this.relays.get(target);
     this.relays.delete(target);
-    return relay && nowMs <= relay.untilMs ? relay.requester : undefined;
+    return relay && nowMs <= relay.expiresAtMs ? relay.requester : undefined;
   }
 }
--- a/packages/core/src/membership/rumour_filter.ts
+++ b/packages/core/src/membership/rumour_filter.ts
@@ -8,7 +8,7 @@
   private readonly seen = new Set<string>();
 
   /** Whether the rumour is new; it is not the next time. */
-  note(rumour: Rumour): boolean {
+  recordIfNew(rumour: Rumour): boolean {
     const occasion = rumour.kind === 'silent_endpoint' ? rumour.seenAtMs : '';
     const key = `${toRumourKey(rumour)}:${occasion}`;
     if (this.seen.has(key)) return false;
--- a/packages/core/src/membership/suspect_table.ts
+++ b/packages/core/src/membership/suspect_table.ts
@@ -30,16 +30,16 @@
     }
   }
 
-  add(
+  recordCrash(
     endpoint: EndpointId,
     fingerprints: readonly string[],
     nowMs: number,
   ): void {
     for (const fingerprint of fingerprints) {
-      const known = this.suspects.get(fingerprint)?.endpoints ?? [];
+      const earlier = this.suspects.get(fingerprint)?.endpoints ?? [];
       this.suspects.delete(fingerprint);
       this.suspects.set(fingerprint, {
-        endpoints: [...known, endpoint].slice(-MAX_ENDPOINTS_KEPT),
+        endpoints: [...earlier, endpoint].slice(-MAX_ENDPOINTS_KEPT),
         lastCrashAtMs: nowMs,
       });
     }
@@ -47,8 +47,8 @@
   }
 
   find(fingerprint: string): Suspect | undefined {
-    const known = this.suspects.get(fingerprint);
-    return known && {...known, crashes: known.endpoints.length};
+    const entry = this.suspects.get(fingerprint);
+    return entry && {...entry, crashes: entry.endpoints.length};
   }
 
   list(): readonly string[] {
--- a/packages/core/src/rules/config_history.ts
+++ b/packages/core/src/rules/config_history.ts
@@ -14,7 +14,7 @@
 } from '@radishyoke/shared/log_record';
 import {LogClock, type LogClockSnapshot} from '../ledger/log_clock.js';
 import {
-  nameWriter,
+  buildWriterKey,
   type WriterEntry,
   WriterTable,
 } from '../ledger/writer_table.js';
@@ -99,7 +99,7 @@
 const MAX_OUTCOMES = 1000;
 
 function buildStampKey(stamp: Stamp): string {
-  return `${nameWriter(stamp)}/${stamp.seq}`;
+  return `${buildWriterKey(stamp)}/${stamp.seq}`;
 }
 
 /**
@@ -132,7 +132,7 @@
 
   /** Returns the highest sequence number seen from a writer. */
   highestSeqOf(writer: string): number {
-    return this.writers.highestOf(writer);
+    return this.writers.highestSeqOf(writer);
   }
 
   /** Returns the version in force for a team. */
@@ -163,7 +163,7 @@
     const nowMs = this.clock.advance(record.timeMs);
     this.writers.dropBefore(nowMs - WRITER_RETENTION_MS);
     const {value} = record;
-    if (!this.writers.admit(value.stamp, nowMs)) return {kind: 'copy'};
+    if (!this.writers.recordIfNew(value.stamp, nowMs)) return {kind: 'copy'};
     const outcome = this.decideOutcome(record);
     this.storeOutcome(value.stamp, outcome);
     return outcome;
--- a/packages/core/src/simulation/schedule_vm.ts
+++ b/packages/core/src/simulation/schedule_vm.ts
@@ -15,7 +15,7 @@
 } from '@radishyoke/shared/log_record';
 import {CheckpointAssembler, splitCheckpoint} from '../ledger/checkpoint.js';
 import {ConfigHistory, NO_VERSION} from '../rules/config_history.js';
-import {nameStepLease} from '../ledger/lease_table.js';
+import {buildStepLeaseName} from '../ledger/lease_table.js';
 import {
   DEFAULT_CLAIM_HORIZON_MS,
   StateFold,
@@ -27,7 +27,7 @@
 export const SESSION_TTL_MS = 6000;
 /** Part of the ttl for which a holder believes in its own lease. */
 const LOCAL_VALIDITY_SHARE = 0.9;
-const LEASE = nameStepLease(`${TENANT}/${STEP}`);
+const LEASE = buildStepLeaseName(`${TENANT}/${STEP}`);
 
 /** A guard that a schedule runs without, to show that it is missed. */
 export type MissingGuard =
--- a/packages/core/src/steps/__tests__/weight_rollout.spec.ts
+++ b/packages/core/src/steps/__tests__/weight_rollout.spec.ts
@@ -11,7 +11,8 @@
 const WAVE = 2;
 const STEP_MS = 250;
 
-type Fate = 'loads' | 'fails' | 'fails_later' | 'lost' | 'answer_lost';
+type OrderBehaviour =
+  'loads' | 'fails' | 'fails_later' | 'lost' | 'answer_lost';
 
 /** Engines that treat each order as the case says. */
 class Fleet {
@@ -19,11 +20,11 @@
   readonly versions = new Map(ENGINES.map(id => [id, 1]));
   readonly loading = new Map<LoadOrder['engine'], number>();
   readonly sentAtMs: number[] = [];
-  most = 0;
+  maxLoading = 0;
 
   constructor(
     readonly rollout: WeightRollout,
-    private readonly fates: readonly Fate[],
+    private readonly behaviours: readonly OrderBehaviour[],
   ) {}
 
   run(newest: number): void {
@@ -32,27 +33,27 @@
       weightVersion: this.versions.get(id)!,
     }));
     for (const order of this.rollout.plan(reported, newest, this.nowMs)) {
-      this.take(order);
+      this.executeOrder(order);
     }
-    this.most = Math.max(this.most, this.loading.size);
+    this.maxLoading = Math.max(this.maxLoading, this.loading.size);
     this.nowMs += STEP_MS;
     for (const [id, version] of this.loading) this.versions.set(id, version);
     this.loading.clear();
   }
 
-  private take(order: LoadOrder): void {
-    const fate = this.fates[this.sentAtMs.length] ?? 'loads';
+  private executeOrder(order: LoadOrder): void {
+    const behaviour = this.behaviours[this.sentAtMs.length] ?? 'loads';
     this.sentAtMs.push(this.nowMs);
-    if (fate === 'loads' || fate === 'answer_lost') {
+    if (behaviour === 'loads' || behaviour === 'answer_lost') {
       this.loading.set(order.engine, order.version);
     }
     const outcome =
-      fate === 'fails'
+      behaviour === 'fails'
         ? 'failed'
-        : fate === 'loads' || fate === 'fails_later'
+        : behaviour === 'loads' || behaviour === 'fails_later'
           ? 'begun'
           : 'unknown';
-    this.rollout.noteOutcome(order, outcome, this.nowMs);
+    this.rollout.recordOutcome(order, outcome, this.nowMs);
   }
 }
 
@@ -61,7 +62,7 @@
 // 2. New versions come meanwhile.
 // Cause: what was ordered is taken for what runs, or all are ordered together.
 test('all engines reach the newest weights, a wave at a time', t => {
-  const fate = fc.constantFrom<Fate>(
+  const behaviourArbitrary = fc.constantFrom<OrderBehaviour>(
     'loads',
     'fails',
     'fails_later',
@@ -69,17 +70,20 @@
     'answer_lost',
   );
   fc.assert(
-    fc.property(fc.array(fate, {maxLength: 30, size: 'max'}), fates => {
-      const fleet = new Fleet(new WeightRollout(7), fates);
-      for (let i = 0; i < 4000; i++) fleet.run(i < 40 ? 2 : 3);
-      const isDone = [...fleet.versions.values()].every(v => v === 3);
-      const {fetchesPerSecond} = DEFAULT_ROLLOUT_OPTIONS;
-      const isPaced = fleet.sentAtMs.every((atMs, i) => {
-        const later = fleet.sentAtMs[i + 2 * fetchesPerSecond];
-        return later === undefined || later - atMs >= 1000;
-      });
-      return isDone && isPaced && fleet.most <= WAVE;
-    }),
+    fc.property(
+      fc.array(behaviourArbitrary, {maxLength: 30, size: 'max'}),
+      behaviours => {
+        const fleet = new Fleet(new WeightRollout(7), behaviours);
+        for (let i = 0; i < 4000; i++) fleet.run(i < 40 ? 2 : 3);
+        const isDone = [...fleet.versions.values()].every(v => v === 3);
+        const {fetchesPerSecond} = DEFAULT_ROLLOUT_OPTIONS;
+        const isPaced = fleet.sentAtMs.every((atMs, i) => {
+          const later = fleet.sentAtMs[i + 2 * fetchesPerSecond];
+          return later === undefined || later - atMs >= 1000;
+        });
+        return isDone && isPaced && fleet.maxLoading <= WAVE;
+      },
+    ),
     {seed: 5, numRuns: 50},
   );
   t.pass();
@@ -93,7 +97,7 @@
   const rollout = new WeightRollout(7);
   const reported = ENGINES.map(id => ({id, weightVersion: 1}));
   const [order] = rollout.plan(reported, 2, 0);
-  rollout.noteOutcome(order, 'stale_fencing', 10);
+  rollout.recordOutcome(order, 'stale_fencing', 10);
   t.true(rollout.isSuperseded);
   t.deepEqual(rollout.plan(reported, 3, 60_000), []);
 });
@@ -103,8 +107,8 @@
 // 2. The orders vanish, and all other engines wait for them.
 // Cause: an order that nobody answered was waited for like a swap under way.
 test('orders that vanish hold the other engines up for seconds only', t => {
-  const fates = Array.from<Fate>({length: WAVE}).fill('lost');
-  const fleet = new Fleet(new WeightRollout(7), fates);
+  const behaviours = Array.from<OrderBehaviour>({length: WAVE}).fill('lost');
+  const fleet = new Fleet(new WeightRollout(7), behaviours);
   while (fleet.sentAtMs.length <= WAVE && fleet.nowMs < 60_000) fleet.run(2);
   const {unansweredTimeoutMs} = DEFAULT_ROLLOUT_OPTIONS;
   t.true(fleet.sentAtMs[WAVE] <= unansweredTimeoutMs + STEP_MS);
--- a/packages/core/src/steps/delivery.ts
+++ b/packages/core/src/steps/delivery.ts
@@ -15,11 +15,11 @@
 
 export class Delivery {
   private readonly refs = new Map<number, SampleRef>();
-  private highest: number;
+  private highestCursor: number;
   /** Cursors up to here were given out before this owner; some were voided. */
-  private readonly adopted: number;
-  private acknowledged: number;
-  private sent = 0;
+  private readonly inheritedCursor: number;
+  private lastAcknowledged: number;
+  private lastSent = 0;
 
   /** Both from the log: the highest cursor given out, and the last one read. */
   constructor(
@@ -27,17 +27,17 @@
     highestCursor: number,
     acknowledgedCursor: number,
   ) {
-    this.highest = highestCursor;
-    this.adopted = highestCursor;
-    this.acknowledged = acknowledgedCursor;
+    this.highestCursor = highestCursor;
+    this.inheritedCursor = highestCursor;
+    this.lastAcknowledged = acknowledgedCursor;
   }
 
   get acknowledgedCursor(): number {
-    return this.acknowledged;
+    return this.lastAcknowledged;
   }
 
   get sentCursor(): number {
-    return this.sent;
+    return this.lastSent;
   }
 
   /** Takes a sample that an earlier owner committed. */
@@ -46,9 +46,9 @@
   }
 
   /** The log holds the sample at `cursor`. */
-  commit(cursor: number, ref: SampleRef): void {
+  recordCommitted(cursor: number, ref: SampleRef): void {
     this.refs.set(cursor, ref);
-    this.highest = Math.max(this.highest, cursor);
+    this.highestCursor = Math.max(this.highestCursor, cursor);
     const state = this.states.get(ref);
     if (state?.kind !== 'settled') return;
     this.states.set(ref, {...state, cursor});
@@ -60,21 +60,21 @@
 
   /** The trainer connected, having read up to `cursor`. */
   restartAt(cursor: number): void {
-    this.sent = this.bound(cursor);
+    this.lastSent = this.limitToCommitted(cursor);
   }
 
-  noteSent(cursor: number): void {
-    this.sent = Math.max(this.sent, cursor);
+  recordSent(cursor: number): void {
+    this.lastSent = Math.max(this.lastSent, cursor);
   }
 
   /** The trainer has read up to `cursor`; false if that is no news. */
   acknowledge(cursor: number): boolean {
-    const known = this.bound(cursor);
-    if (known <= this.acknowledged) return false;
-    for (let at = this.acknowledged + 1; at <= known; at++) {
+    const bounded = this.limitToCommitted(cursor);
+    if (bounded <= this.lastAcknowledged) return false;
+    for (let at = this.lastAcknowledged + 1; at <= bounded; at++) {
       this.acknowledgeOne(at);
     }
-    this.acknowledged = known;
+    this.lastAcknowledged = bounded;
     return true;
   }
 
@@ -84,10 +84,10 @@
    */
   listDeliverable(): readonly Deliverable[] {
     const deliverable: Deliverable[] = [];
-    for (let at = this.sent + 1; at <= this.highest; at++) {
+    for (let at = this.lastSent + 1; at <= this.highestCursor; at++) {
       const ref = this.refs.get(at);
       if (!ref) {
-        if (at <= this.adopted) continue;
+        if (at <= this.inheritedCursor) continue;
         break;
       }
       const state = this.states.get(ref);
@@ -102,10 +102,10 @@
     const ref = this.refs.get(cursor);
     if (!ref) return;
     const state = this.states.get(ref);
-    const holds =
+    const isCurrent =
       (state?.kind === 'settled' && state.cursor === cursor) ||
       (state?.kind === 'recovering' && state.committed.cursor === cursor);
-    if (!holds) return;
+    if (!isCurrent) return;
     const shortfall = state.kind === 'settled' && !!state.shortfall;
     this.states.set(ref, {kind: 'acknowledged', shortfall});
   }
@@ -115,7 +115,7 @@
    * for more would skip what is yet to come, and a huge number would keep this
    * process busy with cursors that do not exist.
    */
-  private bound(cursor: number): number {
-    return Math.min(cursor, this.highest);
+  private limitToCommitted(cursor: number): number {
+    return Math.min(cursor, this.highestCursor);
   }
 }
--- a/packages/core/src/steps/step_ledger.ts
+++ b/packages/core/src/steps/step_ledger.ts
@@ -47,11 +47,11 @@
 const ATTEMPTS_KEPT_PER_SAMPLE = 3;
 
 /** Names a step across tenants, as in `tenant/step`. */
-export function nameStep(tenant: TenantId, step: StepId): string {
+export function buildStepKey(tenant: TenantId, step: StepId): string {
   return `${tenant}/${step}`;
 }
 
-function nameSample(group: number, sample: number): string {
+function buildSampleKey(group: number, sample: number): string {
   return `${group}/${sample}`;
 }
 
@@ -65,19 +65,19 @@
   private readonly started = new Map<string, StartedAttempt[]>();
   private nextCursor = 1;
   private acknowledgedCursor = 0;
-  private version: number;
-  private reason: CloseReason | undefined;
+  private latestTrainerVersion: number;
+  private closeReason: CloseReason | undefined;
   private endedAtMs = 0;
 
   constructor(opening: StepOpening, snapshot?: StepSnapshot) {
     this.opening = opening;
-    this.version = opening.req.weightVersion;
+    this.latestTrainerVersion = opening.req.weightVersion;
     if (snapshot !== undefined) this.restore(snapshot);
   }
 
   /** Name of the step across tenants. */
   get key(): string {
-    return nameStep(this.opening.tenant, this.opening.step);
+    return buildStepKey(this.opening.tenant, this.opening.step);
   }
 
   /** Last cursor that the trainer has taken. */
@@ -87,11 +87,11 @@
 
   /** The trainer's weight version, as last told. */
   get trainerVersion(): number {
-    return this.version;
+    return this.latestTrainerVersion;
   }
 
   get closed(): CloseReason | undefined {
-    return this.reason;
+    return this.closeReason;
   }
 
   get closedAtMs(): number {
@@ -114,7 +114,7 @@
   }
 
   findCommitted(group: number, sample: number): CommittedSample | undefined {
-    return this.winners.get(nameSample(group, sample));
+    return this.winners.get(buildSampleKey(group, sample));
   }
 
   get committedCount(): number {
@@ -123,11 +123,11 @@
 
   /** Attempts that owners started for a sample, latest last. */
   listAttempts(group: number, sample: number): readonly StartedAttempt[] {
-    return this.started.get(nameSample(group, sample)) ?? [];
+    return this.started.get(buildSampleKey(group, sample)) ?? [];
   }
 
   /** Highest attempt number ever started for a sample; 0 for none. */
-  highestAttempt(group: number, sample: number): number {
+  findHighestAttempt(group: number, sample: number): number {
     return this.listAttempts(group, sample).at(-1)?.attempt ?? 0;
   }
 
@@ -135,14 +135,14 @@
   commit(samples: readonly SampleCommit[]): readonly CommittedSample[] {
     const accepted: CommittedSample[] = [];
     for (const sample of samples) {
-      const name = nameSample(sample.group, sample.sample);
+      const key = buildSampleKey(sample.group, sample.sample);
       // Two attempts of one sample end at once, or a new owner commits what the
       // old one had committed unseen: the trainer would get the sample twice.
       // The log's order decides, the same for every reader.
-      if (this.winners.has(name)) continue;
+      if (this.winners.has(key)) continue;
       if (!this.hasSample(sample.group, sample.sample)) continue;
       const winner = {...sample, cursor: this.nextCursor++};
-      this.winners.set(name, winner);
+      this.winners.set(key, winner);
       accepted.push(winner);
     }
     return accepted;
@@ -153,23 +153,23 @@
    * has acknowledged stays, because running it again would double it.
    */
   voidCursors(cursors: readonly number[]): boolean {
-    const doomed = new Set(cursors.filter(c => c > this.acknowledgedCursor));
+    const voidable = new Set(cursors.filter(c => c > this.acknowledgedCursor));
     let changed = false;
-    for (const [name, winner] of this.winners) {
-      if (!doomed.has(winner.cursor)) continue;
-      this.winners.delete(name);
+    for (const [key, winner] of this.winners) {
+      if (!voidable.has(winner.cursor)) continue;
+      this.winners.delete(key);
       changed = true;
     }
     return changed;
   }
 
   /** Notes attempts that the owner under `fencing` started. */
-  start(
+  recordStarts(
     attempts: ReadonlyArray<Omit<StartedAttempt, 'fencing'>>,
     fencing: number,
   ): boolean {
     const valid = attempts.filter(a => this.hasSample(a.group, a.sample));
-    for (const entry of valid) this.noteAttempt({...entry, fencing});
+    for (const entry of valid) this.recordAttempt({...entry, fencing});
     return valid.length > 0;
   }
 
@@ -177,14 +177,18 @@
   acknowledge(cursor: number, weightVersion: number): boolean {
     const next = Math.min(cursor, this.lastCursor);
     const moved =
-      next > this.acknowledgedCursor || weightVersion > this.version;
+      next > this.acknowledgedCursor ||
+      weightVersion > this.latestTrainerVersion;
     this.acknowledgedCursor = Math.max(this.acknowledgedCursor, next);
-    this.version = Math.max(this.version, weightVersion);
+    this.latestTrainerVersion = Math.max(
+      this.latestTrainerVersion,
+      weightVersion,
+    );
     return moved;
   }
 
   close(reason: CloseReason, nowMs: number): void {
-    this.reason = reason;
+    this.closeReason = reason;
     this.endedAtMs = nowMs;
   }
 
@@ -195,36 +199,38 @@
       attempts: [...this.started.values()].flat(),
       nextCursor: this.nextCursor,
       acknowledged: this.acknowledgedCursor,
-      trainerVersion: this.version,
-      ...(this.reason === undefined ? {} : {closed: this.reason}),
+      trainerVersion: this.latestTrainerVersion,
+      ...(this.closeReason === undefined ? {} : {closed: this.closeReason}),
       closedAtMs: this.endedAtMs,
     };
   }
 
-  private noteAttempt(attempt: StartedAttempt): void {
-    const name = nameSample(attempt.group, attempt.sample);
-    const known = (this.started.get(name) ?? []).filter(
+  private recordAttempt(attempt: StartedAttempt): void {
+    const key = buildSampleKey(attempt.group, attempt.sample);
+    const attempts = (this.started.get(key) ?? []).filter(
       a => a.attempt !== attempt.attempt,
     );
-    known.push(attempt);
-    known.sort((a, b) => a.attempt - b.attempt);
-    this.started.set(name, known.slice(-ATTEMPTS_KEPT_PER_SAMPLE));
+    attempts.push(attempt);
+    attempts.sort((a, b) => a.attempt - b.attempt);
+    this.started.set(key, attempts.slice(-ATTEMPTS_KEPT_PER_SAMPLE));
   }
 
   private hasSample(group: number, sample: number): boolean {
-    const known = this.opening.req.groups[group];
-    return known !== undefined && sample >= 0 && sample < known.samples;
+    const groupRequest = this.opening.req.groups[group];
+    return (
+      groupRequest !== undefined && sample >= 0 && sample < groupRequest.samples
+    );
   }
 
   private restore(snapshot: StepSnapshot): void {
     for (const winner of snapshot.committed) {
-      this.winners.set(nameSample(winner.group, winner.sample), winner);
+      this.winners.set(buildSampleKey(winner.group, winner.sample), winner);
     }
-    for (const attempt of snapshot.attempts) this.noteAttempt(attempt);
+    for (const attempt of snapshot.attempts) this.recordAttempt(attempt);
     this.nextCursor = snapshot.nextCursor;
     this.acknowledgedCursor = snapshot.acknowledged;
-    this.version = snapshot.trainerVersion;
-    this.reason = snapshot.closed;
+    this.latestTrainerVersion = snapshot.trainerVersion;
+    this.closeReason = snapshot.closed;
     this.endedAtMs = snapshot.closedAtMs;
   }
 }
--- a/packages/core/src/steps/step_machine.ts
+++ b/packages/core/src/steps/step_machine.ts
@@ -34,12 +34,12 @@
 } from './step_message.js';
 
 /** Refusals that pass by themselves. */
-const passingKinds: ReadonlySet<ErrorKind> = new Set<ErrorKind>([
+const transientKinds: ReadonlySet<ErrorKind> = new Set<ErrorKind>([
   'no_endpoint',
   'overloaded',
 ]);
 /** Pause before such a sample runs again, where the refusal names none, ms. */
-const retryPauseMs = 500;
+const defaultRetryDelayMs = 500;
 /** How long a new owner waits for an engine to give back a winner's text, ms. */
 const recoveryTimeoutMs = 5000;
 /** How long a finished step waits for the trainer's last acknowledgement, ms. */
@@ -111,36 +111,36 @@
         break;
       case 'committed':
         for (const {cursor, ...ref} of input.samples) {
-          this.delivery.commit(cursor, ref);
+          this.delivery.recordCommitted(cursor, ref);
         }
         break;
       case 'commit_failed':
-        this.commitAgain(input.samples, out);
+        this.recommit(input.samples, out);
         break;
       case 'attached':
         this.attached = true;
         this.delivery.restartAt(input.cursor);
         this.endSent = false;
-        this.moveTrainer(input.cursor, input.weightVersion, out);
+        this.advanceTrainer(input.cursor, input.weightVersion, out);
         this.rerunLost(out);
         break;
       case 'detached':
         this.attached = false;
         break;
       case 'acknowledged':
-        this.moveTrainer(input.cursor, input.weightVersion, out);
+        this.advanceTrainer(input.cursor, input.weightVersion, out);
         break;
       case 'recovered':
-        this.recover(input.cursor, input.output, out);
+        this.settleRecovered(input.cursor, input.output, out);
         break;
       case 'cancel':
         this.close('cancelled', out);
         return out;
       case 'tick':
-        this.expire(nowMs, out);
+        this.applyTimeouts(nowMs, out);
         break;
     }
-    this.handOver(out);
+    this.deliver(out);
     this.closeIfComplete(nowMs, out);
     return out;
   }
@@ -188,7 +188,7 @@
   }
 
   /** Tells the machine that an attempt began, so that numbers are never reused. */
-  noteAttempt(ref: SampleRef, attempt: number): void {
+  recordAttempt(ref: SampleRef, attempt: number): void {
     const key = formatSampleKey(ref);
     const highest = this.attempts.get(key) ?? 0;
     this.attempts.set(key, Math.max(highest, attempt));
@@ -227,12 +227,12 @@
     nowMs: number,
     out: StepOutput[],
   ): void {
-    if (!passingKinds.has(error.kind)) {
+    if (!transientKinds.has(error.kind)) {
       this.settle(ref, {shortfall: error}, out);
       return;
     }
     if (!this.states.isRunning(ref)) return;
-    const untilMs = nowMs + (error.retryAfterMs ?? retryPauseMs);
+    const untilMs = nowMs + (error.retryAfterMs ?? defaultRetryDelayMs);
     this.states.set(ref, {kind: 'waiting', untilMs});
   }
 
@@ -251,16 +251,19 @@
     };
   }
 
-  private commitAgain(samples: readonly SampleRef[], out: StepOutput[]): void {
-    const open = samples.filter(ref => {
+  private recommit(samples: readonly SampleRef[], out: StepOutput[]): void {
+    const uncommitted = samples.filter(ref => {
       const state = this.states.get(ref);
       return state?.kind === 'settled' && state.cursor === undefined;
     });
-    if (open.length === 0) return;
-    out.push({kind: 'commit', samples: open.map(ref => this.buildCommit(ref))});
+    if (uncommitted.length === 0) return;
+    out.push({
+      kind: 'commit',
+      samples: uncommitted.map(ref => this.buildCommit(ref)),
+    });
   }
 
-  private moveTrainer(
+  private advanceTrainer(
     cursor: number,
     weightVersion: number,
     out: StepOutput[],
@@ -280,7 +283,7 @@
     }
   }
 
-  private recover(
+  private settleRecovered(
     cursor: number,
     output: SampleOutput | undefined,
     out: StepOutput[],
@@ -289,9 +292,9 @@
     if (!ref) return;
     const state = this.states.get(ref);
     if (state?.kind !== 'recovering') return;
-    const intact =
+    const isIntact =
       output && computeDigest(output.text) === state.committed.digest;
-    if (intact) {
+    if (isIntact) {
       this.states.set(ref, {kind: 'settled', cursor, output});
       return;
     }
@@ -299,7 +302,7 @@
     this.rerunLost(out);
   }
 
-  private handOver(out: StepOutput[]): void {
+  private deliver(out: StepOutput[]): void {
     if (!this.attached) return;
     for (const {ref, state, cursor} of this.delivery.listDeliverable()) {
       if (state.output && this.isStale(state.output.spans)) {
@@ -310,10 +313,10 @@
         this.run(ref, out);
         continue;
       }
-      this.delivery.noteSent(cursor);
+      this.delivery.recordSent(cursor);
       out.push({kind: 'send', event: this.buildEvent(ref, state, cursor)});
     }
-    this.sendEnd(out);
+    this.sendEndIfComplete(out);
   }
 
   private buildEvent(
@@ -331,7 +334,7 @@
     return {kind: 'rollout', cursor, fencing, rollout};
   }
 
-  private sendEnd(out: StepOutput[]): void {
+  private sendEndIfComplete(out: StepOutput[]): void {
     if (this.endSent) return;
     const totals = this.states.countIfAllSent(this.delivery.sentCursor);
     if (!totals) return;
@@ -345,7 +348,7 @@
     return measureStaleness(spans, this.weightVersion) > maxStaleness;
   }
 
-  private expire(nowMs: number, out: StepOutput[]): void {
+  private applyTimeouts(nowMs: number, out: StepOutput[]): void {
     this.expireRecoveries(nowMs, out);
     const isLate = nowMs >= this.deadlineAtMs;
     for (const {ref, state} of this.states.list()) {
--- a/packages/core/src/steps/weight_rollout.ts
+++ b/packages/core/src/steps/weight_rollout.ts
@@ -68,7 +68,7 @@
 /** Orders of one model under one fencing number; a new holder makes a new one. */
 export class WeightRollout {
   private readonly engines = new Map<EndpointId, EngineOrders>();
-  private readonly fetches: TokenBucket;
+  private readonly fetchBucket: TokenBucket;
   private superseded = false;
 
   constructor(
@@ -76,7 +76,7 @@
     private readonly options: WeightRolloutOptions = DEFAULT_ROLLOUT_OPTIONS,
   ) {
     const {fetchesPerSecond} = options;
-    this.fetches = new TokenBucket(
+    this.fetchBucket = new TokenBucket(
       Math.max(1, fetchesPerSecond),
       fetchesPerSecond,
     );
@@ -97,13 +97,13 @@
     // it. Engines that check fencing numbers tell it so; to those that don't it
     // must not send on.
     if (this.superseded) return [];
-    for (const engine of reported) this.settle(engine, nowMs);
-    let room = this.countRoom(reported);
+    for (const engine of reported) this.applyReport(engine, nowMs);
+    let room = this.countOrderRoom(reported);
     const orders: LoadOrder[] = [];
     for (const engine of sortBehindFirst(reported)) {
       if (room === 0 || engine.weightVersion >= newestVersion) break;
-      if (!this.mayOrder(engine.id, nowMs)) continue;
-      if (!this.fetches.take(nowMs)) break;
+      if (!this.canOrder(engine.id, nowMs)) continue;
+      if (!this.fetchBucket.take(nowMs)) break;
       this.getOrders(engine.id).pending = {
         version: newestVersion,
         sentAtMs: nowMs,
@@ -116,12 +116,12 @@
     return orders;
   }
 
-  noteOutcome(order: LoadOrder, outcome: OrderOutcome, nowMs: number): void {
+  recordOutcome(order: LoadOrder, outcome: OrderOutcome, nowMs: number): void {
     if (outcome === 'stale_fencing') this.superseded = true;
     const engine = this.getOrders(order.engine);
     const {pending} = engine;
     if (pending?.version !== order.version) return;
-    if (outcome === 'failed') this.fail(engine, nowMs);
+    if (outcome === 'failed') this.scheduleRetry(engine, nowMs);
     // After no answer the report tells, and until then the engine counts as
     // loading. An order on a connection that went silent never arrived, and a
     // long wait for it keeps all others from the new weights. Ordering the same
@@ -131,7 +131,10 @@
   }
 
   /** Sees what a report tells of the order under way. */
-  private settle({id, weightVersion}: ReportedEngine, nowMs: number): void {
+  private applyReport(
+    {id, weightVersion}: ReportedEngine,
+    nowMs: number,
+  ): void {
     const engine = this.getOrders(id);
     const {pending} = engine;
     if (!pending) return;
@@ -142,25 +145,25 @@
       return;
     }
     const waitedMs = nowMs - pending.sentAtMs;
-    if (waitedMs >= pending.timeoutMs) this.fail(engine, nowMs);
+    if (waitedMs >= pending.timeoutMs) this.scheduleRetry(engine, nowMs);
   }
 
-  private fail(engine: EngineOrders, nowMs: number): void {
+  private scheduleRetry(engine: EngineOrders, nowMs: number): void {
     const {firstRetryMs, maxRetryMs} = this.options;
     engine.pending = undefined;
     const waitMs = firstRetryMs * 2 ** Math.min(20, engine.failures++);
     engine.retryAtMs = nowMs + Math.min(maxRetryMs, waitMs);
   }
 
-  private countRoom(reported: readonly ReportedEngine[]): number {
-    const wave = Math.floor(reported.length * this.options.waveShare);
+  private countOrderRoom(reported: readonly ReportedEngine[]): number {
+    const waveSize = Math.floor(reported.length * this.options.waveShare);
     const loading = reported.filter(
       ({id}) => this.getOrders(id).pending !== undefined,
     ).length;
-    return Math.max(0, Math.max(1, wave) - loading);
+    return Math.max(0, Math.max(1, waveSize) - loading);
   }
 
-  private mayOrder(id: EndpointId, nowMs: number): boolean {
+  private canOrder(id: EndpointId, nowMs: number): boolean {
     const {pending, retryAtMs} = this.getOrders(id);
     return !pending && nowMs >= retryAtMs;
   }
--- a/packages/daemon/src/admin/vm_admin_backend.ts
+++ b/packages/daemon/src/admin/vm_admin_backend.ts
@@ -5,7 +5,7 @@
 import type {ConfigVersion} from '@radishyoke/core/rules/config_history';
 import type {MetricRegistry} from '@radishyoke/core/metrics/metrics';
 import type {RecordedRequest} from '@radishyoke/core/audit/recorded_request';
-import {nameStepLease} from '@radishyoke/core/ledger/lease_table';
+import {buildStepLeaseName} from '@radishyoke/core/ledger/lease_table';
 import type {StepLedger} from '@radishyoke/core/steps/step_ledger';
 import type {LogClient} from '@radishyoke/stores/log_client';
 import {createError} from '@radishyoke/shared/error_kind';
@@ -245,7 +245,7 @@
   private readStep(step: StepLedger): StepEntry {
     const {opening} = step;
     const {leases} = this.options.log.state;
-    const lease = leases.find(nameStepLease(step.key));
+    const lease = leases.find(buildStepLeaseName(step.key));
     const isHeld =
       lease !== undefined &&
       leases.isHeld(lease, this.options.log.estimateLogNowMs());
--- a/packages/daemon/src/audit/audit_task.ts
+++ b/packages/daemon/src/audit/audit_task.ts
@@ -9,7 +9,7 @@
   type LoggedHead,
 } from '@radishyoke/core/audit/audit_chain';
 import type {AuditEntry} from '@radishyoke/core/audit/audit_entry';
-import {nameWriter} from '@radishyoke/core/ledger/writer_table';
+import {buildWriterKey} from '@radishyoke/core/ledger/writer_table';
 import type {LogClient} from '@radishyoke/stores/log_client';
 import {LOG_WRITER_DEFAULTS, LogWriter} from '@radishyoke/stores/log_writer';
 import type {IncarnationId, VmId} from '@radishyoke/shared/ids';
@@ -58,7 +58,7 @@
     private readonly log: LogTask,
     private readonly cfg: AuditTaskConfig,
   ) {
-    this.chain = new AuditChain(nameWriter(cfg));
+    this.chain = new AuditChain(buildWriterKey(cfg));
     this.writer = new LogWriter<AuditBlock, number>(
       client,
       log.budget,
@@ -168,7 +168,7 @@
     const {value} = change.judged.record;
     if (value.kind !== 'audit_anchored') return;
     if (change.judged.verdict.kind === 'void') return;
-    const writer = nameWriter(value.stamp);
+    const writer = buildWriterKey(value.stamp);
     if (writer === this.chain.writer) return;
     const {number, hash, offset} = value;
     this.foreignHeads.set(writer, {writer, number, hash, offset});
--- a/packages/daemon/src/log/lease_holder.ts
+++ b/packages/daemon/src/log/lease_holder.ts
@@ -2,7 +2,7 @@
 
 import type {StateFold} from '@radishyoke/core/ledger/state_fold';
 import type {JudgedRecord} from '@radishyoke/core/ledger/verdict';
-import {nameWriter} from '@radishyoke/core/ledger/writer_table';
+import {buildWriterKey} from '@radishyoke/core/ledger/writer_table';
 import type {Unstamped} from '@radishyoke/stores/log_writer';
 import {createError} from '@radishyoke/shared/error_kind';
 import type {IncarnationId, VmId} from '@radishyoke/shared/ids';
@@ -91,10 +91,10 @@
 
   /** Renews the session when that is due and the VM owns something. */
   tick(): void {
-    const own = nameWriter(this.options);
+    const own = buildWriterKey(this.options);
     const owns =
       this.wanted.size > 0 ||
-      this.options.getFold().leases.listOf(own).length > 0;
+      this.options.getFold().leases.listClaimedBy(own).length > 0;
     if (owns && this.session.isDue(performance.now())) void this.renewSession();
   }
 
--- a/packages/daemon/src/log/log_task.ts
+++ b/packages/daemon/src/log/log_task.ts
@@ -12,10 +12,10 @@
   type AppliedConfig,
 } from '@radishyoke/core/rules/config_history';
 import {
-  type Currency,
-  CurrencyTracker,
-  DEFAULT_CURRENCY_TIMING,
-} from '@radishyoke/core/ledger/currency';
+  type ConfigFreshness,
+  ConfigFreshnessTracker,
+  DEFAULT_CONFIG_FRESHNESS_TIMING,
+} from '@radishyoke/core/ledger/config_freshness';
 import {splitCheckpoint} from '@radishyoke/core/ledger/checkpoint';
 import {
   createEmptySnapshot,
@@ -24,7 +24,7 @@
   type StateSnapshot,
 } from '@radishyoke/core/ledger/state_fold';
 import type {JudgedRecord} from '@radishyoke/core/ledger/verdict';
-import {nameWriter} from '@radishyoke/core/ledger/writer_table';
+import {buildWriterKey} from '@radishyoke/core/ledger/writer_table';
 import {AppendBudget} from '@radishyoke/stores/append_budget';
 import type {LogClient} from '@radishyoke/stores/log_client';
 import {
@@ -115,7 +115,7 @@
   private readonly configFollower: StreamFollower<ConfigRecord>;
   private readonly source = new EventSource<LogChange>();
   private readonly leaseHolder: LeaseHolder;
-  private readonly currency: CurrencyTracker;
+  private readonly currency: ConfigFreshnessTracker;
   private readonly jitter = Math.random();
   private checkpointing = false;
   private stateFold: StateFold;
@@ -134,12 +134,13 @@
       getFold: () => this.stateFold,
       append: body => this.append(body),
     });
-    const trustMs = cfg.notReadyAfterMs ?? DEFAULT_CURRENCY_TIMING.logDownMs;
-    this.currency = new CurrencyTracker(
+    const trustMs =
+      cfg.notReadyAfterMs ?? DEFAULT_CONFIG_FRESHNESS_TIMING.logDownMs;
+    this.currency = new ConfigFreshnessTracker(
       {
-        ...DEFAULT_CURRENCY_TIMING,
+        ...DEFAULT_CONFIG_FRESHNESS_TIMING,
         logDownMs: trustMs,
-        cutOffMs: Math.min(trustMs, DEFAULT_CURRENCY_TIMING.cutOffMs),
+        cutOffMs: Math.min(trustMs, DEFAULT_CONFIG_FRESHNESS_TIMING.cutOffMs),
       },
       performance.now(),
     );
@@ -243,7 +244,7 @@
 
   /** Whether a record or a lease is of this life of this VM. */
   isOwn(stamp: Pick<Stamp, 'vm' | 'incarnation'>): boolean {
-    return nameWriter(stamp) === nameWriter(this.cfg);
+    return buildWriterKey(stamp) === buildWriterKey(this.cfg);
   }
 
   /** Gives a lease back. */
@@ -272,10 +273,10 @@
     const applied = this.configHistory.importRecords(transfer);
     if (this.configHistory.next === before) return false;
     this.configFollower.catchUpWithFold();
-    this.currency.noteTaken(this.configHistory.next, performance.now());
+    this.currency.recordAdopted(this.configHistory.next, performance.now());
     for (const judged of applied) this.announceConfig(judged);
     if (transfer.kind === 'snapshot') {
-      const own = this.configHistory.highestSeqOf(nameWriter(this.cfg));
+      const own = this.configHistory.highestSeqOf(buildWriterKey(this.cfg));
       this.configWriter.failThrough(own);
       this.source.emit({kind: 'reset'});
     }
@@ -291,12 +292,13 @@
   }
 
   /** Whether this VM can know that its configuration is the one in force. */
-  assessCurrency({otherVms, heardVms, seenNext}: PeerView): Currency {
+  assessCurrency({otherVms, heardVms, seenNext}: PeerView): ConfigFreshness {
     const nowMs = performance.now();
     const {caughtUp, next, lastReadMonotonicMs} = this.configFollower.status();
-    this.currency.noteFolded(next);
-    if (caughtUp) this.currency.noteRead(next, lastReadMonotonicMs);
-    for (const vm of heardVms) this.currency.noteHeard(vm, seenNext, nowMs);
+    this.currency.recordFolded(next);
+    if (caughtUp) this.currency.recordRead(next, lastReadMonotonicMs);
+    for (const vm of heardVms)
+      this.currency.recordPeerNext(vm, seenNext, nowMs);
     return this.currency.assess(otherVms, nowMs);
   }
 
@@ -321,7 +323,7 @@
     const {claimHorizonMs} = this.cfg;
     const replace = (snapshot: StateSnapshot) => {
       this.stateFold = new StateFold({claimHorizonMs}, snapshot);
-      const own = this.stateFold.highestSeqOf(nameWriter(this.cfg));
+      const own = this.stateFold.highestSeqOf(buildWriterKey(this.cfg));
       this.stateWriter.failThrough(own);
       this.source.emit({kind: 'reset'});
     };
--- a/packages/daemon/src/scheduling/__tests__/order_task.spec.ts
+++ b/packages/daemon/src/scheduling/__tests__/order_task.spec.ts
@@ -1,5 +1,5 @@
 import test from 'ava';
-import {nameOrdersLease} from '@radishyoke/core/ledger/lease_table';
+import {buildOrdersLeaseName} from '@radishyoke/core/ledger/lease_table';
 import {DEFAULT_CLAIM_HORIZON_MS} from '@radishyoke/core/ledger/state_fold';
 import {startFakeEngine} from '@radishyoke/fakes/fake_engine';
 import {startFakeLog} from '@radishyoke/fakes/fake_log';
@@ -95,10 +95,10 @@
     while (engine.readWeightVersion() < version) await sleep(POLL_MS);
   };
   await serves(2);
-  const before = task.state.leases.find(nameOrdersLease(MODEL))?.fencing;
+  const before = task.state.leases.find(buildOrdersLeaseName(MODEL))?.fencing;
   task.doubts = true;
   await serves(3);
-  t.is(task.state.leases.find(nameOrdersLease(MODEL))?.fencing, before);
+  t.is(task.state.leases.find(buildOrdersLeaseName(MODEL))?.fencing, before);
 });
 
 function sleep(ms: number): Promise<void> {
--- a/packages/daemon/src/scheduling/order_task.ts
+++ b/packages/daemon/src/scheduling/order_task.ts
@@ -4,7 +4,7 @@
  */
 
 import type {Dispatcher as HttpDispatcher} from 'undici';
-import {nameOrdersLease} from '@radishyoke/core/ledger/lease_table';
+import {buildOrdersLeaseName} from '@radishyoke/core/ledger/lease_table';
 import {
   DEFAULT_ROLLOUT_OPTIONS,
   LoadOrder,
@@ -92,7 +92,7 @@
 
   private async acquire(model: string): Promise<HeldOrders | undefined> {
     const {log} = this.options;
-    const name = nameOrdersLease(model);
+    const name = buildOrdersLeaseName(model);
     const held = this.held.get(name);
     if (held && !held.rollout.isSuperseded && log.holds(held.lease)) {
       return held;
@@ -126,7 +126,7 @@
     rollout: WeightRollout,
   ): Promise<void> {
     const outcome = await this.post(engine, order);
-    rollout.noteOutcome(order, outcome, Date.now());
+    rollout.recordOutcome(order, outcome, Date.now());
     const {version, fencing} = order;
     this.options.logger.log(
       outcome === 'begun' ? 'info' : 'warn',
--- a/packages/daemon/src/steps/step_directory.ts
+++ b/packages/daemon/src/steps/step_directory.ts
@@ -5,7 +5,7 @@
 
 import type {Dispatcher as HttpDispatcher} from 'undici';
 import {computeDigest} from '@radishyoke/core/ledger/digest';
-import {nameStepLease} from '@radishyoke/core/ledger/lease_table';
+import {buildStepLeaseName} from '@radishyoke/core/ledger/lease_table';
 import type {StepLedger} from '@radishyoke/core/steps/step_ledger';
 import type {
   SampleOutput,
@@ -139,7 +139,7 @@
 
   private findOwner(ledger: StepLedger): VmId | undefined {
     const {log, vm} = this.options;
-    const lease = log.state.leases.find(nameStepLease(ledger.key));
+    const lease = log.state.leases.find(buildStepLeaseName(ledger.key));
     if (!lease || lease.vm === vm) return undefined;
     const held = log.state.leases.isHeld(lease, log.estimateLogNowMs());
     return held ? lease.vm : undefined;
@@ -160,7 +160,7 @@
     if (this.leaving) return fail(createError('draining'));
     const route = this.options.resolveRoute(ledger);
     if (!route.ok) return route;
-    const lease = nameStepLease(ledger.key);
+    const lease = buildStepLeaseName(ledger.key);
     const claimed = await this.options.log.claim(lease);
     if (!claimed.ok) {
       const owner = this.findOwner(ledger);
@@ -206,7 +206,7 @@
 
   private end(ledger: StepLedger, task: StepTask, end: StepEnd): void {
     if (this.tasks.get(ledger.key) === task) this.tasks.delete(ledger.key);
-    const lease = nameStepLease(ledger.key);
+    const lease = buildStepLeaseName(ledger.key);
     if (end === 'left') {
       void this.options.log.release({lease, fencing: task.fencing});
     }
@@ -226,7 +226,7 @@
   private scanOrphans(): void {
     if (this.leaving) return;
     const {log} = this.options;
-    const orphans = log.state.listOrphans(log.estimateLogNowMs());
+    const orphans = log.state.listUnownedSteps(log.estimateLogNowMs());
     const keys = new Set(orphans.map(ledger => ledger.key));
     for (const key of [...this.orphanSince.keys()]) {
       if (!keys.has(key)) this.orphanSince.delete(key);
--- a/packages/daemon/src/steps/step_task.ts
+++ b/packages/daemon/src/steps/step_task.ts
@@ -5,7 +5,7 @@
 
 import type {ServerResponse} from 'node:http';
 import type {Dispatcher as HttpDispatcher} from 'undici';
-import {nameStepLease} from '@radishyoke/core/ledger/lease_table';
+import {buildStepLeaseName} from '@radishyoke/core/ledger/lease_table';
 import type {RouteAction} from '@radishyoke/core/rules/rule';
 import type {StepLedger} from '@radishyoke/core/steps/step_ledger';
 import {
@@ -148,7 +148,7 @@
 
   private tick(): void {
     const {log, ledger, fencing} = this.options;
-    const lease = nameStepLease(ledger.key);
+    const lease = buildStepLeaseName(ledger.key);
     // A newer claim on the log ends this owner, also when it was paused past
     // its lease: whatever it still wrote is void at the log.
     if (!log.state.leases.isCurrent(lease, fencing)) {
@@ -213,7 +213,7 @@
       findDeadline: () =>
         estimateOpenedAt(options) + ledger.opening.req.timeoutMs,
       onAttempt: (ref, attempt, endpoint) => {
-        this.machine.noteAttempt(ref, attempt);
+        this.machine.recordAttempt(ref, attempt);
         this.records.noteAttempt(ref, attempt, endpoint);
       },
       onOutput: output => {
@@ -287,7 +287,7 @@
   const attempts = new Map<string, number>();
   ledger.opening.req.groups.forEach((request, group) => {
     for (let sample = 0; sample < request.samples; sample++) {
-      const highest = ledger.highestAttempt(group, sample);
+      const highest = ledger.findHighestAttempt(group, sample);
       if (highest > 0) attempts.set(formatSampleKey({group, sample}), highest);
     }
   });
