--- a/packages/core/src/__tests__/decoder_fuzz.spec.ts
+++ b/packages/core/src/__tests__/decoder_fuzz.spec.ts
@@ -51,7 +51,7 @@
   'a.b.c',
 ];
 
-/** Lines that look right, with noise between them. */
+/** Texts of plausible lines with random lines between them. */
 const textArbitrary = fc
   .array(
     fc.oneof(
@@ -71,9 +71,9 @@
   )
   .map(lines => ['[config]', 'team = t', '[rule.first]', ...lines].join('\n'));
 
-// A text that makes the check throw would stop every VM that reads the log.
-// Cause: the check runs while the stream of configurations is folded.
-test('no text makes the check of rules throw, and what passes can be used', t => {
+// The check runs while the stream of configurations is folded, so a text that
+// makes it throw would stop every VM that reads the log.
+test('no text makes the check of rules throw, and accepted rules can be used', t => {
   const property = fc.property(textArbitrary, fc.webPath(), (text, path) => {
     checkRuleText(text, toTeamId('t'));
     const parsed = parseRuleText(text, 'rules');
@@ -92,7 +92,7 @@
   t.notThrows(() => fc.assert(property, {seed: SEED, numRuns: RUNS}));
 });
 
-test('the canonical form of a path has no other canonical form', t => {
+test('a canonical path has no dot segments and no double slashes', t => {
   const pathArbitrary = fc
     .array(
       fc.constantFrom(
@@ -119,7 +119,7 @@
   t.notThrows(() => fc.assert(property, {seed: SEED, numRuns: RUNS}));
 });
 
-test('no bytes in place of a histogram make the merge throw', t => {
+test('merging random bytes as a histogram is rejected and does not throw', t => {
   const name = Object.keys(HISTOGRAMS)[0] as HistogramName;
   const bytes = fc.uint8Array({maxLength: 60});
   const property = fc.property(bytes, noise => {
--- a/packages/core/src/__tests__/log_promises.spec.ts
+++ b/packages/core/src/__tests__/log_promises.spec.ts
@@ -17,7 +17,7 @@
 );
 const schedule = fc.array(op, {maxLength: OPS_MAX, size: 'max'});
 
-/** Looks for a schedule that breaks a promise whose name matches `symptom`. */
+/** Searches for a schedule with a broken promise that matches `symptom`. */
 function findViolation(guard: MissingGuard, symptom: RegExp) {
   const holds = (ops: readonly ScheduleOp[]) =>
     !runSchedule(ops, guard).some(broken => symptom.test(broken));
@@ -27,11 +27,12 @@
   });
 }
 
-// A step over three VMs while answers get lost, appends arrive late, VMs pause,
-// restart and start after retention, and the log is down: every sample reaches
-// the trainer exactly once and is the ledger's, no request id runs twice, no
-// configuration reverts or comes into force after it was said to have failed,
-// no former owner's record counts, and all VMs hold the same state.
+// Runs a step over three VMs while responses are lost, appends arrive late, VMs
+// pause, restart and start after the log's retention, and the log is down. It
+// checks that every sample reaches the trainer exactly once and matches the
+// ledger, no request id runs twice, no configuration reverts or comes into
+// force after it was reported as failed, no record of a former owner counts,
+// and all VMs reach the same state.
 test('all promises hold over seeded schedules', t => {
   const details = findViolation('none', /./);
   const [ops] = details.counterexample ?? [];
@@ -40,7 +41,7 @@
 
 interface MissingGuardCase {
   readonly guard: MissingGuard;
-  /** What a user would see without it. */
+  /** Broken promise that a user would see without the guard. */
   readonly symptom: RegExp;
 }
 
--- a/packages/core/src/__tests__/naive_state_fold.ts
+++ b/packages/core/src/__tests__/naive_state_fold.ts
@@ -1,16 +1,16 @@
 /**
- * The shortest obviously right reading of the stream `state`: for each record it
- * looks through all records before it. Nothing is ever forgotten.
+ * A simple reference model of the stream `state`. It judges each record by
+ * searching all earlier records and never drops state.
  */
 
 import type {LoggedRecord, StateRecord} from '@radishyoke/shared/log_record';
 
 type Logged = LoggedRecord<StateRecord>;
 
-/** What became of one record, in a form that both models can give. */
+/** Verdict on one record, in a form that both models can produce. */
 export interface NaiveVerdict {
   readonly accepted: boolean;
-  /** Fencing number won, or cursors given to samples. */
+  /** Fencing number obtained, or cursors assigned to samples. */
   readonly gains: readonly number[];
 }
 
@@ -67,7 +67,10 @@
     }
   }
 
-  /** Whether a claim counts before `offset`; with `by`, one of its writer. */
+  /**
+   * Whether a claim is in force before `offset`; with `releaser`, only one that
+   * its writer won.
+   */
   private isClaimed(req: string, offset: number, releaser?: Logged): boolean {
     let claims: Logged[] = [];
     let winner: Logged | undefined;
@@ -132,7 +135,7 @@
     );
   }
 
-  /** The claim that holds the lease before `offset`, lapsed or not. */
+  /** The claim that last won the lease before `offset`, even if expired. */
   private findHolder(lease: string, offset: number): Logged | undefined {
     let holder: Logged | undefined;
     for (const r of this.listBefore(offset)) {
@@ -144,7 +147,7 @@
       if (value.kind === 'lease_released' && value.lease === lease) {
         holder = undefined;
       }
-      // Whoever closes a step gives its lease back with it.
+      // Closing a step also releases its lease.
       if (
         value.kind === 'step_closed' &&
         `step:${value.tenant}/${value.step}` === lease
@@ -165,7 +168,7 @@
     return this.timeOf(last.offset) + last.value.ttlMs > this.timeOf(offset);
   }
 
-  /** Log time with steps back counted as no time. */
+  /** Log time, with steps back counted as no elapsed time. */
   private timeOf(offset: number): number {
     let timeMs = 0;
     for (let i = 0; i <= offset; i++) {
@@ -179,7 +182,7 @@
     return this.records.slice(0, offset);
   }
 
-  /** Records of a kind before `offset`, copies left out. */
+  /** Records of a kind before `offset`, without duplicates. */
   private listFirstCopies<K extends StateRecord['kind']>(
     offset: number,
     kind: K,
--- a/packages/core/src/ledger/__tests__/checkpoint.spec.ts
+++ b/packages/core/src/ledger/__tests__/checkpoint.spec.ts
@@ -4,9 +4,10 @@
 import {CheckpointAssembler, splitCheckpoint} from '../checkpoint.js';
 import {createStamp, RecordFixture} from '../../simulation/log_fixtures.js';
 
-// Two VMs write checkpoints at once and one of them dies half way: its parts
-// must neither count as whole nor be mixed with the other's.
-test('parts of several writers in any order give the whole ones only', t => {
+// Two VMs write checkpoints at the same time and one of them crashes midway.
+// Its parts must neither count as complete nor be mixed with those of the other
+// VM.
+test('parts of several writers in any order yield only complete checkpoints', t => {
   const bodies = ['a', 'b'].map(vm =>
     splitCheckpoint(7, {[vm]: 'x'.repeat(150_000)}),
   );
--- a/packages/core/src/ledger/__tests__/config_freshness.spec.ts
+++ b/packages/core/src/ledger/__tests__/config_freshness.spec.ts
@@ -13,7 +13,7 @@
   readonly name: string;
   /** Age of this VM's own last read to the end; undefined for none. */
   readonly ownReadAgeMs?: number;
-  /** What the other VM says of itself now; undefined when it is not heard. */
+  /** What the other VM reports now; undefined when it can not be reached. */
   readonly peer?: {readonly next: number; readonly ageMs: number};
   readonly expected: string;
 }
@@ -54,7 +54,10 @@
     ownReadAgeMs: cutOffMs + 1,
     expected: 'not_current cut_off',
   },
-  {name: 'has just started and heard nothing', expected: 'not_current cut_off'},
+  {
+    name: 'has just started and received nothing',
+    expected: 'not_current cut_off',
+  },
   {
     name: 'has just started in an outage and took a peer configuration',
     peer: {next: 5, ageMs: 60_000},
@@ -62,8 +65,9 @@
   },
 ];
 
-// A VM goes on serving under rules that an operator replaced minutes ago, or a
-// whole deployment stops being ready because the log is down and nothing changed.
+// Guards against a VM that keeps serving rules an operator replaced minutes
+// ago, and against a deployment that stops being ready in a log outage during
+// which no configuration can change.
 for (const {name, ownReadAgeMs, peer, expected} of CASES) {
   test(`a VM that ${name} is ${expected}`, t => {
     const nowMs = 10_000_000;
--- a/packages/core/src/ledger/__tests__/naive_state_fold.spec.ts
+++ b/packages/core/src/ledger/__tests__/naive_state_fold.spec.ts
@@ -25,7 +25,7 @@
 const VMS = ['a', 'b', 'c'] as const;
 const LEASE = `step:${TENANT}/${STEP}`;
 
-/** One record to come: kind, writer, a number for the rest, and time passing. */
+/** Generates one record: kind, writer, a number for its details, elapsed ms. */
 const choiceArbitrary = fc.tuple(
   fc.nat(9),
   fc.nat(VMS.length - 1),
@@ -76,7 +76,10 @@
 
 type Choice = readonly [number, number, number, number];
 
-/** Some records twice, as after a lost answer; owners mostly know their number. */
+/**
+ * Builds a stream in which some records are duplicated, as after a lost
+ * response, and most owner records carry the current fencing number.
+ */
 function createStream(choices: readonly Choice[]): RecordFixture<StateRecord> {
   const stream = new RecordFixture<StateRecord>();
   const fold = new StateFold({claimHorizonMs: CLAIM_HORIZON_MS});
@@ -126,8 +129,9 @@
   t.deepEqual(details.counterexample, null);
 });
 
-// A VM that starts from a checkpoint becomes an owner beside the real one.
-test('a checkpoint at any offset folds on to the same state', t => {
+// Guards against a VM that starts from a checkpoint, reaches a different state
+// and acts as a second owner of a step.
+test('folding on from a checkpoint at any offset gives the same state', t => {
   fc.assert(
     fc.property(
       fc.array(choiceArbitrary, {maxLength: 60, size: 'max'}),
--- a/packages/core/src/ledger/__tests__/state_fold.spec.ts
+++ b/packages/core/src/ledger/__tests__/state_fold.spec.ts
@@ -34,11 +34,11 @@
   };
 }
 
-// A trainer gets one sample from two owners.
-// 1. VM a owns the step and is paused; its session lapses.
+// Guards against a trainer receiving a sample from two owners.
+// 1. VM a owns the step and is paused; its session expires.
 // 2. VM b claims the step and commits sample 0.
-// 3. a wakes, believes it is still the owner and commits samples 0 and 1.
-// Cause: nothing but a's own clock told it that its lease had gone.
+// 3. VM a resumes, still acts as the owner and commits samples 0 and 1.
+// Without fencing only VM a's own clock shows that its lease has expired.
 test('a paused owner commits nothing after another claim', t => {
   const {fold, add} = createFold();
   add('a', openStep(2), 0);
@@ -65,11 +65,12 @@
   );
 });
 
-// A note is filed twice on a grower's record.
-// 1. A VM claims a request id; the append takes effect and its answer is lost.
-// 2. The VM appends the same record again; the caller, having heard nothing,
-//    sends the request to another VM too.
-// Cause: a lost answer taken for a failure.
+// Guards against a request that runs twice.
+// 1. A VM claims a request id; the append takes effect but its response is
+//    lost.
+// 2. The VM appends the same record again, and the caller, without a response,
+//    sends the request to another VM as well.
+// It happens if a lost response is treated as a failed append.
 test('one claim on a request id wins, however often it is appended', t => {
   const {stream, fold, add} = createFold();
   const claim: StateBody = {
@@ -92,11 +93,11 @@
   );
 });
 
-// A step stands still for an hour after its owner died.
-// 1. The log's clock is set back an hour.
-// 2. The owner dies; its session seems to lapse only in an hour.
-// Cause: expiry compared with a clock that went back.
-test('a step back of the log clock does not prolong a dead session', t => {
+// Guards against a step that makes no progress for an hour after a crash.
+// 1. The log's clock is set back by an hour.
+// 2. The owner crashes; its session appears to expire only an hour later.
+// It happens if the expiry is compared with a clock that was set back.
+test('setting the log clock back does not prolong the session of a dead VM', t => {
   const {add} = createFold();
   const startMs = 10_000_000;
   add('a', openStep(1), startMs);
@@ -109,7 +110,7 @@
   t.is(add('b', CLAIM, backMs + TTL_MS).kind, 'accepted');
 });
 
-test('a winner is voided only past the trainer cursor and wins anew later', t => {
+test('a winner is voided only past the trainer cursor and can be committed again', t => {
   const {fold, add} = createFold();
   const owner = {tenant: TENANT, step: STEP, fencing: 2};
   add('a', openStep(2), 0);
--- a/packages/core/src/ledger/canonical_json.ts
+++ b/packages/core/src/ledger/canonical_json.ts
@@ -1,8 +1,8 @@
-/** One text for one value, so that digests of equal values are equal. */
+/** Canonical JSON, so that equal values have equal digests. */
 
 /**
- * JSON with the keys of every object in order and undefined members left out. A
- * log service may store a record in a form that does not keep the order of keys.
+ * Serializes `value` as JSON with sorted object keys and without undefined
+ * members. A log service may not preserve the key order of a stored record.
  */
 export function canonicalizeJson(value: unknown): string {
   return JSON.stringify(value, (_key, member: unknown) => {
--- a/packages/core/src/ledger/checkpoint.ts
+++ b/packages/core/src/ledger/checkpoint.ts
@@ -1,21 +1,21 @@
 /**
- * Snapshots of a stream's folded state on the stream itself, so that what must
- * last outlives the log's retention.
+ * Checkpoints: snapshots of a stream's folded state, written to the stream
+ * itself so that the state outlives the log's retention.
  */
 
 import type {CheckpointPart, LoggedRecord} from '@radishyoke/shared/log_record';
 import {computeDigest} from './digest.js';
 import {buildWriterKey} from './writer_table.js';
 
-/** Characters of snapshot text in one record. */
+/** Maximum length of the snapshot text in one record, in characters. */
 const PART_CHARS = 48_000;
-/** Unfinished checkpoints kept while reading; over it the oldest go first. */
+/** Incomplete checkpoints kept while reading; the oldest are dropped first. */
 const MAX_UNFINISHED = 16;
 
-/** A part without the stamp that its writer adds. */
+/** A checkpoint part without the stamp, which its writer adds. */
 export type CheckpointBody = Omit<CheckpointPart, 'stamp'>;
 
-/** A whole snapshot as read from the log. */
+/** A complete snapshot as read from the log. */
 export interface Checkpoint {
   /** Offset of the first record that the snapshot does not cover. */
   readonly asOf: number;
@@ -26,7 +26,7 @@
   readonly text: string;
 }
 
-/** Cuts a snapshot of the state before offset `asOf` into records. */
+/** Splits a snapshot of the state before offset `asOf` into records. */
 export function splitCheckpoint(
   asOf: number,
   snapshot: unknown,
@@ -45,14 +45,14 @@
 }
 
 /**
- * Puts parts together. Several VMs may write checkpoints at once, and copies of
- * a part may stand in the log; parts are told apart by writer, offset and
- * digest, and any one whole checkpoint will do.
+ * Assembles checkpoints from their parts. Several VMs may write checkpoints at
+ * the same time and the log may contain duplicate parts, so parts are grouped
+ * by writer, offset and digest. Any one complete checkpoint is sufficient.
  */
 export class CheckpointAssembler {
   private readonly unfinished = new Map<string, Map<number, string>>();
 
-  /** Takes the next record; returns the checkpoint that it completes. */
+  /** Adds the next record; returns the checkpoint that it completes, if any. */
   add(record: LoggedRecord<CheckpointPart>): Checkpoint | undefined {
     const {stamp, asOf, part, parts, digest, text} = record.value;
     const key = `${buildWriterKey(stamp)}/${asOf}/${digest}`;
@@ -78,38 +78,43 @@
   }
 }
 
-/** What decides whether a checkpoint is due. */
+/** Settings that decide when a checkpoint is due. */
 export interface CheckpointTiming {
-  /** How long the log keeps a record. */
+  /** How long the log retains a record. */
   readonly retentionMs: number;
-  /** From 0 to 1, other for each VM, so that one writes and the others see it. */
+  /**
+   * From 0 to 1 and different on each VM, so that one VM writes a checkpoint
+   * before it becomes due on the others.
+   */
   readonly jitter: number;
 }
 
-/** What is known of a stream's window when a checkpoint may be due. */
+/**
+ * Retained range of a stream, from which it is decided if a checkpoint is due.
+ */
 export interface StreamWindow {
   readonly oldest: number;
   readonly next: number;
-  /** Offset covered by the last whole checkpoint; 0 for none. */
+  /** Offset covered by the last complete checkpoint; 0 for none. */
   readonly checkpointAsOf: number;
-  /** Log time since which no whole checkpoint was made. */
+  /** Log time since which no complete checkpoint was written. */
   readonly sinceMs: number;
   readonly nowMs: number;
 }
 
-/** Part of the retention after which a new checkpoint is due. */
+/** Share of the retention after which a new checkpoint is due. */
 const DUE_SHARE = 0.25;
-/** Spread between the VMs, in the same measure. */
+/** Maximum jitter between VMs, as a share of the retention. */
 const JITTER_SHARE = 0.125;
-/** A checkpoint's own records must not make the next one due. */
+/** Keeps the records of one checkpoint from making the next one due. */
 const MIN_RECORDS_BETWEEN = 500;
 
 /**
- * Whether a checkpoint is due: by time, against the retention that operators
- * stated, and by count, against the window that the log is seen to keep, should
- * it keep less than was stated. At most three eighths of the window pass between
- * two checkpoints, so a reader that starts at the oldest record meets a whole
- * one whose later records are all still there.
+ * Whether a checkpoint is due, either by time, compared with the configured
+ * retention, or by record count, compared with the range the log actually
+ * retains, which may be shorter than configured. At most three eighths of the
+ * range pass between two checkpoints, so a reader that starts at the oldest
+ * record finds a complete checkpoint and all records after it.
  */
 export function isCheckpointDue(
   window: StreamWindow,
--- a/packages/core/src/ledger/config_freshness.ts
+++ b/packages/core/src/ledger/config_freshness.ts
@@ -1,18 +1,18 @@
-/** Whether a VM can know that its configuration is the one in force. */
+/** Tracks whether a VM knows that its configuration is the one in force. */
 
 import type {VmId} from '@radishyoke/shared/ids';
 
-/** What a VM can say of its configuration. */
+/** How sure a VM is that its configuration is current. */
 export type ConfigFreshness =
-  /** Confirmed a short while ago: nothing newer was accepted by then. */
+  /** Recently confirmed: nothing newer had been accepted at that time. */
   | {readonly kind: 'current'}
-  /** Not confirmed of late, but still trusted; VMs go on serving and say so. */
+  /** Not confirmed recently but still used; the VM serves and reports it. */
   | {
       readonly kind: 'uncertain';
       readonly sinceMs: number;
       readonly reason: UncertainReason;
     }
-  /** No longer trusted, or never confirmed: the VM must not be ready. */
+  /** Confirmed too long ago, or never: the VM must not be ready. */
   | {
       readonly kind: 'not_current';
       readonly sinceMs: number;
@@ -20,26 +20,28 @@
     };
 
 export type UncertainReason =
-  /** Nobody heard of can read the log: an outage, in which nothing is accepted. */
+  /** No reachable VM can read the log: an outage, so nothing is accepted. */
   | 'log_down'
-  /** Neither the log nor most of the other VMs are heard: a cut network. */
+  /** Neither the log nor most other VMs can be reached: a network partition. */
   | 'cut_off'
-  /** Another VM has records that this one lacks. */
+  /** Another VM has records that this VM does not have. */
   | 'behind';
 
 export interface ConfigFreshnessTiming {
-  /** Confirmations older than this leave the VM uncertain. */
+  /** With an older confirmation the VM is no longer `current`. */
   readonly maxConfirmationAgeMs: number;
-  /** How long a VM that hears most others goes on without the log. */
+  /** How long a VM that reaches most others keeps serving without the log. */
   readonly logDownMs: number;
-  /** How long a VM goes on that hears neither the log nor most others. */
+  /**
+   * How long a VM that reaches neither the log nor most others keeps serving.
+   */
   readonly cutOffMs: number;
 }
 
 /**
- * In an outage of the log nothing newer can be accepted, so staying up is right
- * for long. Cut off, a VM may miss what the others have accepted, so it stays up
- * for the time of a passing fault only.
+ * During a log outage no newer configuration can be accepted, so a VM may keep
+ * serving for a long time. A VM that is cut off may miss configurations that
+ * others accept, so it keeps serving only for the length of a transient fault.
  */
 export const DEFAULT_CONFIG_FRESHNESS_TIMING: ConfigFreshnessTiming = {
   maxConfirmationAgeMs: 6000,
@@ -54,9 +56,10 @@
 }
 
 /**
- * Keeps when this VM's configuration was last confirmed: by its own read to the
- * end of the stream, or by a VM that had done so and was no further. All times
- * are this VM's monotonic ms; what others tell is an age, never a time of day.
+ * Tracks when this VM's configuration was last confirmed, either by its own
+ * read to the end of the stream or by another VM that made such a read and
+ * holds the same offset. All times are this VM's monotonic ms; other VMs report
+ * ages, never times of day.
  */
 export class ConfigFreshnessTracker {
   private readonly peers = new Map<VmId, PeerReport>();
@@ -68,31 +71,33 @@
     private readonly startedAtMs: number,
   ) {}
 
-  /** This VM folded all records below `next`. */
+  /** Records that this VM folded all records below `next`. */
   recordFolded(next: number): void {
     this.ownNext = Math.max(this.ownNext, next);
   }
 
-  /** This VM read to the end of the stream. */
+  /** Records that this VM read to the end of the stream. */
   recordRead(next: number, nowMs: number): void {
     this.recordFolded(next);
     this.ownConfirmedAtMs = Math.max(this.ownConfirmedAtMs, nowMs);
   }
 
   /**
-   * This VM took its configuration from another one that trusts it. A VM that
-   * starts while the log is down serves by what the others serve by.
+   * Records that this VM adopted the configuration of another VM. A VM that
+   * starts during a log outage serves with the configuration of the others.
    */
   recordAdopted(next: number, nowMs: number): void {
     this.recordRead(next, nowMs);
   }
 
-  /** A VM is heard that tells of `next` and not of any confirmation. */
+  /** Records a VM that reports its `next` offset but no confirmation. */
   recordPeerNext(vm: VmId, next: number, nowMs: number): void {
     this.recordPeerConfirmation(vm, next, Infinity, nowMs);
   }
 
-  /** Another VM had its configuration, up to `next`, confirmed `ageMs` ago. */
+  /**
+   * Records that `vm` had its configuration up to `next` confirmed `ageMs` ago.
+   */
   recordPeerConfirmation(
     vm: VmId,
     next: number,
@@ -107,12 +112,15 @@
     this.peers.delete(vm);
   }
 
-  /** Ms since the last confirmation, to be told to other VMs. */
+  /** Returns the ms since the last confirmation, for reports to other VMs. */
   measureConfirmationAgeMs(nowMs: number): number {
     return nowMs - this.findConfirmedAtMs();
   }
 
-  /** `otherVms` counts the live VMs besides this one. */
+  /**
+   * Returns how current the configuration is; `otherVms` counts the live VMs
+   * except this one.
+   */
   assess(otherVms: number, nowMs: number): ConfigFreshness {
     const confirmedAtMs = this.findConfirmedAtMs();
     const {maxConfirmationAgeMs} = this.timing;
@@ -140,8 +148,8 @@
   }
 
   /**
-   * A VM that is ahead confirms nothing: what it knows and this one does not may
-   * be a newer configuration.
+   * Time of the last confirmation. A VM that is ahead confirms nothing, because
+   * the records that only it has may contain a newer configuration.
    */
   private findConfirmedAtMs(): number {
     let confirmedAtMs = this.ownConfirmedAtMs;
--- a/packages/core/src/ledger/digest.ts
+++ b/packages/core/src/ledger/digest.ts
@@ -1,16 +1,20 @@
-/** Digests that name texts and requests. */
+/** Digests that identify texts and prompt prefixes. */
 
 import {createHash} from 'node:crypto';
 
-/** SHA-256 of `text`, hex. */
+/** Returns the SHA-256 of `text` in hex. */
 export function computeDigest(text: string): string {
   return createHash('sha256').update(text).digest('hex');
 }
 
-/** Characters of a prompt that name its cached prefix; the engines use the same. */
+/**
+ * Prompt characters that identify its cached prefix, same as in the engines.
+ */
 const prefixChars = 256;
 
-/** Names the cached prefix of `prompt`, as the engines' cache events do. */
+/**
+ * Returns the key of a prompt's cached prefix, as used in engine cache events.
+ */
 export function computePrefixKey(prompt: string): string {
   return computeDigest(prompt.slice(0, prefixChars)).slice(0, 16);
 }
--- a/packages/core/src/ledger/lease_table.ts
+++ b/packages/core/src/ledger/lease_table.ts
@@ -1,4 +1,4 @@
-/** Who holds which lease, and under which fencing number. */
+/** Lease holders and their fencing numbers, folded from the log. */
 
 import type {IncarnationId, VmId} from '@radishyoke/shared/ids';
 import type {Stamp} from '@radishyoke/shared/log_record';
@@ -15,19 +15,21 @@
   readonly fencing: number;
   /** Adjusted log time of the last accepted claim or release. */
   readonly changedAtMs: number;
-  /** Given back by its holder; the fencing number still outdates older ones. */
+  /** Released by its holder; older fencing numbers stay invalid. */
   readonly released: boolean;
 }
 
-/** Name of the lease on a step. */
+/** Returns the name of the lease on a step. */
 export const buildStepLeaseName = (stepKey: string) => `step:${stepKey}`;
-/** Name of the lease on ordering the engines of a model. */
+/**
+ * Returns the name of the lease on sending orders to the engines of a model.
+ */
 export const buildOrdersLeaseName = (model: string) => `orders:${model}`;
 
 /**
- * Leases by name. A lease lasts as long as its holder's session and is not taken
- * from a holder before another claim is accepted, so that a holder that renews
- * late, with nobody else in line, just goes on under its old fencing number.
+ * Leases by name. A lease is held while its holder's session is live, and its
+ * entry stays after that until another claim is accepted. A holder that renews
+ * late therefore keeps its fencing number if nobody else claimed the lease.
  */
 export class LeaseTable {
   private readonly leases = new Map<string, Lease>();
@@ -39,7 +41,7 @@
     for (const lease of entries) this.leases.set(lease.name, lease);
   }
 
-  /** Judges a claim that stands at `offset`. */
+  /** Judges the claim in the record at `offset`. */
   claim(name: string, stamp: Stamp, offset: number, nowMs: number): Verdict {
     const {vm, incarnation} = stamp;
     if (!this.sessions.isLive(buildWriterKey(stamp), nowMs)) {
@@ -63,7 +65,7 @@
     return {kind: 'accepted', fencing: offset};
   }
 
-  /** Gives the lease back, if `fencing` is the current holder's. */
+  /** Releases the lease if `fencing` is the current holder's number. */
   release(name: string, fencing: number, nowMs: number): boolean {
     if (!this.isCurrent(name, fencing)) return false;
     const current = this.leases.get(name)!;
@@ -72,16 +74,16 @@
   }
 
   /**
-   * Whether `fencing` is the number of the last accepted claim. A paused holder
-   * wakes after its lease lapsed and still believes it holds it; its records
-   * carry the older number and are void wherever they land.
+   * Whether `fencing` is the number of the last accepted claim. A holder that
+   * resumes from a pause may not know that its lease has expired; its records
+   * carry the older number and are void at any offset.
    */
   isCurrent(name: string, fencing: number): boolean {
     const current = this.leases.get(name);
     return current?.fencing === fencing && !current.released;
   }
 
-  /** The last accepted claim, lapsed or not. */
+  /** Returns the last accepted claim, even if expired or released. */
   find(name: string): Lease | undefined {
     return this.leases.get(name);
   }
@@ -92,7 +94,7 @@
     );
   }
 
-  /** Leases whose last claim is `writer`'s and not given back. */
+  /** Leases last claimed by `writer` and not released, even if expired. */
   listClaimedBy(writer: string): readonly Lease[] {
     return [...this.leases.values()].filter(
       lease => !lease.released && buildWriterKey(lease) === writer,
--- a/packages/core/src/ledger/log_clock.ts
+++ b/packages/core/src/ledger/log_clock.ts
@@ -1,17 +1,17 @@
-/** Time as every reader of one stream derives it from the records alone. */
+/** Time that all readers of a stream derive identically from its records. */
 
-/** What a snapshot keeps of the clock. */
+/** State of the clock in a snapshot. */
 export interface LogClockSnapshot {
   readonly nowMs: number;
   readonly lastRawMs: number;
 }
 
 /**
- * The log's clock made monotone. Should the log's clock step back, sessions
- * would outlive their holders by the size of the step: a VM that died would keep
- * its leases for that long. So a step back counts as no time at all, and the
- * time after it counts in full. A step forward lets sessions lapse early, which
- * costs a takeover and, because of fencing numbers, nothing else.
+ * A monotonic clock derived from the log's timestamps. If the log's clock is
+ * set back, a dead VM would keep its session and leases for the size of the
+ * step, so a step back counts as no elapsed time and the time after it counts
+ * in full. A step forward expires sessions early; because of fencing numbers
+ * this costs only a takeover.
  */
 export class LogClock {
   private current: number;
@@ -27,7 +27,7 @@
     return this.current;
   }
 
-  /** Takes the time of the next record and returns the adjusted one. */
+  /** Advances to the time of the next record and returns the adjusted time. */
   advance(rawMs: number): number {
     this.current += Math.max(0, rawMs - this.lastRaw);
     this.lastRaw = rawMs;
--- a/packages/core/src/ledger/request_claims.ts
+++ b/packages/core/src/ledger/request_claims.ts
@@ -1,4 +1,4 @@
-/** At-most-once claims on callers' request ids, within a horizon. */
+/** At-most-once claims on callers' request ids, remembered for a horizon. */
 
 /** One claimed id: key, writer of the winning claim, time of the last claim. */
 export type ClaimEntry = readonly [string, string, number];
@@ -8,22 +8,22 @@
   readonly lastClaimAtMs: number;
 }
 
-/** Claims kept at most, some 14 MB; over it new ids are refused. */
+/** Maximum number of claims, about 14 MB; further ids are refused. */
 export const MAX_REQUEST_CLAIMS = 60_000;
 
-/** What a claim came to; `full` means that none can be kept now. */
+/** Result of a claim; `full` means that no more claims can be stored now. */
 export type ClaimOutcome = 'won' | 'lost' | 'full';
 
 /**
- * The first claim on an id wins. A claim counts for `horizonMs` of log time from
- * the last attempt to claim the id, won or lost: so whether a claim wins depends
- * on the horizon before it alone, and every reader that has seen that much of
- * the log judges alike.
+ * The first claim on an id wins. It stays in force until `horizonMs` of log
+ * time after the last attempt to claim the id, won or lost. Whether a claim
+ * wins thus depends only on the records within the horizon before it, so every
+ * reader that has read that far back reaches the same result.
  */
 export class RequestClaims {
-  /** In the order of the last claim, because each claim is put in anew. */
+  /** In order of the last claim, because each claim is reinserted. */
   private readonly claims = new Map<string, Claim>();
-  /** One string a writer, for all of its claims. */
+  /** One shared string for each writer, to save memory. */
   private readonly internedWriters = new Map<string, string>();
 
   constructor(
@@ -39,8 +39,9 @@
   claim(key: string, writer: string, nowMs: number): ClaimOutcome {
     this.dropExpired(nowMs);
     const existing = this.claims.get(key);
-    // Dropping the oldest to make room would let a resent request run twice,
-    // unseen. A refused id was not run, and its caller is told so.
+    // Dropping the oldest claim to make room would let a resent request run
+    // twice unnoticed. A refused request has not run, and its caller learns
+    // that.
     if (existing === undefined && this.claims.size >= MAX_REQUEST_CLAIMS) {
       return 'full';
     }
@@ -52,14 +53,14 @@
     return existing === undefined ? 'won' : 'lost';
   }
 
-  /** Forgets the claim that `writer` won; returns whether it held it. */
+  /** Removes the claim if `writer` won it; returns whether it did. */
   release(key: string, writer: string, nowMs: number): boolean {
     this.dropExpired(nowMs);
     if (this.claims.get(key)?.winner !== writer) return false;
     return this.claims.delete(key);
   }
 
-  /** Who holds the claim on `key`, if anybody does. */
+  /** Returns the writer that holds the claim on `key`, if any. */
   findWinner(key: string): string | undefined {
     return this.claims.get(key)?.winner;
   }
--- a/packages/core/src/ledger/session_table.ts
+++ b/packages/core/src/ledger/session_table.ts
@@ -1,9 +1,11 @@
-/** Sessions of VMs: what their leases hang on. */
+/**
+ * Sessions of VMs. A lease is held only while its holder has a live session.
+ */
 
-/** One session: writer and the adjusted log time at which it lapses. */
+/** One session: writer and the adjusted log time at which it expires. */
 export type SessionEntry = readonly [string, number];
 
-/** Sessions by writer. Absent and lapsed mean the same. */
+/** Sessions by writer. An absent session is equivalent to an expired one. */
 export class SessionTable {
   private readonly expiries = new Map<string, number>();
 
@@ -25,12 +27,12 @@
     return (this.expiries.get(writer) ?? 0) > nowMs;
   }
 
-  /** When the session lapses; 0 for none. */
+  /** Returns when the session expires; 0 for none. */
   findExpiryMs(writer: string): number {
     return this.expiries.get(writer) ?? 0;
   }
 
-  /** Sessions live at `nowMs`. */
+  /** Counts the sessions that are live at `nowMs`. */
   count(nowMs: number): number {
     let live = 0;
     for (const expiry of this.expiries.values()) if (expiry > nowMs) live++;
--- a/packages/core/src/ledger/state_fold.ts
+++ b/packages/core/src/ledger/state_fold.ts
@@ -1,7 +1,7 @@
 /**
- * Folds the stream `state` to what all VMs agree on: sessions, leases, steps,
- * at-most-once claims and suspects. It depends on the records alone, so every
- * reader that has read as far holds the same state.
+ * Folds the stream `state` into the state that all VMs agree on: sessions,
+ * leases, steps, at-most-once claims and suspects. It depends only on the
+ * records, so all readers at the same offset hold the same state.
  */
 
 import type {RequestId, StepId, TenantId} from '@radishyoke/shared/ids';
@@ -21,25 +21,25 @@
 import {ACCEPTED, type Verdict, voidBecause} from './verdict.js';
 import {buildWriterKey, type WriterEntry, WriterTable} from './writer_table.js';
 
-/** How long a request id is remembered after the last attempt to claim it. */
+/** How long a request claim is kept after the last attempt to claim the id. */
 export const DEFAULT_CLAIM_HORIZON_MS = 3_600_000;
-/** How long a closed step answers a late reader before it is forgotten. */
+/** How long a closed step is kept for late readers. */
 const CLOSED_STEP_RETENTION_MS = 600_000;
-/** How long past its timeout a step that nobody closed is kept. */
+/** How long a step that was never closed is kept after its timeout. */
 const OVERDUE_STEP_RETENTION_MS = 3_600_000;
 /**
- * After an outage of the log, VMs judge for a while by the time before it, at
- * which sessions that have lapsed since were live.
+ * How long an expired session is kept. For a while after a log outage, VMs use
+ * a log time from before the outage, at which the session was still live.
  */
 const EXPIRED_SESSION_RETENTION_MS = 3_600_000;
 const IDLE_LEASE_RETENTION_MS = 86_400_000;
 const WRITER_RETENTION_MS = 3_600_000;
 const SUSPECT_RETENTION_MS = 3_600_000;
-/** Old entries are looked for once in this much log time. */
+/** Interval between removals of old entries, in log time. */
 const SWEEP_INTERVAL_MS = 10_000;
 
 type RecordOf<K extends StateRecord['kind']> = Extract<StateRecord, {kind: K}>;
-/** Records that only the owner of a step may write. */
+/** Records that only the current owner of a step may write. */
 type OwnerRecord = RecordOf<
   | 'attempts_started'
   | 'samples_committed'
@@ -48,7 +48,7 @@
   | 'step_closed'
 >;
 
-/** The whole folded state as plain data. */
+/** The complete folded state as plain data. */
 export interface StateSnapshot {
   /** Offset of the next record to apply. */
   readonly next: number;
@@ -63,7 +63,7 @@
   readonly suspects: readonly SuspectEntry[];
 }
 
-/** A state with nothing in it, before the record at `next`. */
+/** Creates the snapshot of an empty state before the record at `next`. */
 export function createEmptySnapshot(
   next: number,
   claimHorizonMs: number,
@@ -82,18 +82,21 @@
   };
 }
 
-/** Log time after which nothing of an older record can matter, but its number. */
+/**
+ * Returns the log time after which a record no longer affects the state, apart
+ * from its sequence number.
+ */
 export function measureStateSpanMs(cfg: StateFoldConfig): number {
   const stepSpanMs = STEP_LIMITS.timeoutMs + OVERDUE_STEP_RETENTION_MS;
   return Math.max(cfg.claimHorizonMs, stepSpanMs);
 }
 
-/** Settings that must be equal on all VMs, or they would judge differently. */
+/** Settings that must be equal on all VMs, or their states would diverge. */
 export interface StateFoldConfig {
   readonly claimHorizonMs: number;
 }
 
-/** The state that the records up to `next` fold to. */
+/** The state after folding all records before `next`. */
 export class StateFold {
   private readonly clock: LogClock;
   private readonly writers: WriterTable;
@@ -162,7 +165,7 @@
     return [...this.stepMap.values()];
   }
 
-  /** Open steps whose lease nobody holds at `nowMs` of the log. */
+  /** Open steps whose lease nobody holds at log time `nowMs`. */
   listUnownedSteps(nowMs: number): readonly StepLedger[] {
     return this.listSteps().filter(step => {
       if (step.closed !== undefined) return false;
@@ -171,17 +174,17 @@
     });
   }
 
-  /** Writer that holds the claim on a request id, as `vm/incarnation`. */
+  /** Returns the writer, as `vm/incarnation`, that claimed a request id. */
   findClaimant(tenant: TenantId, req: RequestId): string | undefined {
     return this.claims.findWinner(`${tenant}/${req}`);
   }
 
-  /** Highest sequence number seen of a writer. */
+  /** Highest sequence number seen from a writer. */
   highestSeqOf(writer: string): number {
     return this.writers.highestSeqOf(writer);
   }
 
-  /** Applies the next record and tells what became of it. */
+  /** Applies the next record and returns its verdict. */
   apply(record: LoggedRecord<StateRecord>): Verdict {
     this.nextOffset = record.offset + 1;
     const nowMs = this.clock.advance(record.timeMs);
@@ -317,7 +320,10 @@
     }
   }
 
-  /** Forgets what no longer counts. Due times come from the log, as all else. */
+  /**
+   * Removes entries that are no longer needed. Uses log time only, so that all
+   * readers remove them at the same record.
+   */
   private sweep(nowMs: number): void {
     if (nowMs < this.sweptAtMs + SWEEP_INTERVAL_MS) return;
     this.sweptAtMs = nowMs;
--- a/packages/core/src/ledger/writer_table.ts
+++ b/packages/core/src/ledger/writer_table.ts
@@ -1,11 +1,11 @@
-/** Tells copies of a record from the first one, per writer. */
+/** Detects duplicate records by the sequence numbers of each writer. */
 
 import type {Stamp} from '@radishyoke/shared/log_record';
 
-/** One writer's last record: key, sequence number, adjusted log time. */
+/** Last record of a writer: key, sequence number, adjusted log time. */
 export type WriterEntry = readonly [string, number, number];
 
-/** Names the writer of a stamp. */
+/** Returns a key that identifies the writer of a stamp. */
 export function buildWriterKey(
   stamp: Pick<Stamp, 'vm' | 'incarnation'>,
 ): string {
@@ -13,10 +13,10 @@
 }
 
 /**
- * Highest sequence number seen of each writer. An append whose answer was lost
- * is appended again; it shows as the same number twice. A writer sends in the
- * order of its numbers and never leaves one out for good while sending a later
- * one, so a number at or below the highest is a copy.
+ * Highest sequence number seen from each writer. A writer repeats an append
+ * whose response was lost, so the same number can occur twice. Writers append
+ * in the order of their numbers and never skip one for good, so a number at or
+ * below the highest is a duplicate.
  */
 export class WriterTable {
   private readonly highest = new Map<
@@ -30,7 +30,7 @@
     }
   }
 
-  /** Whether this is the first copy of the record; remembers it. */
+  /** Returns whether this is the first copy of the record, and records it. */
   recordIfNew(stamp: Stamp, nowMs: number): boolean {
     const key = buildWriterKey(stamp);
     const existing = this.highest.get(key);
@@ -39,12 +39,12 @@
     return true;
   }
 
-  /** Highest number of a writer; 0 for none. */
+  /** Highest sequence number of a writer; 0 for none. */
   highestSeqOf(writer: string): number {
     return this.highest.get(writer)?.seq ?? 0;
   }
 
-  /** Forgets writers that wrote nothing since `sinceMs`. */
+  /** Removes writers that wrote nothing since `sinceMs`. */
   dropBefore(sinceMs: number): void {
     for (const [key, {seenAtMs}] of this.highest) {
       if (seenAtMs < sinceMs) this.highest.delete(key);
--- a/packages/core/src/membership/__tests__/membership.spec.ts
+++ b/packages/core/src/membership/__tests__/membership.spec.ts
@@ -6,9 +6,9 @@
 const SEED = 20261202;
 const SETTLE_MS = 4000;
 const CONFIG_BOUND_MS = 6000;
-/** Must not grow with the number of VMs: one a second for each contact. */
+/** Must not grow with the number of VMs: one per second for each contact. */
 const MAX_MESSAGES_PER_SECOND = 20;
-/** Probe, suspicion and the news of it, at the worst. */
+/** Worst case of probing, suspicion and spreading the failure. */
 const FAILURE_BOUND_MS = 9000;
 
 function seesAll(network: MembershipNetwork, node: Node): boolean {
@@ -25,19 +25,22 @@
   return network.nowMs - startMs;
 }
 
-/** The greatest number of messages that any VM sends in a quiet second. */
+/** Returns the most messages per second that any VM sends without faults. */
 function measureMessageRate(network: MembershipNetwork): number {
   const before = network.nodes.map(node => node.sent);
   network.run(2000);
   return Math.max(...network.nodes.map((n, i) => (n.sent - before[i]) / 2));
 }
 
-// A VM whose log connection went silent never applies a new configuration.
-// 1. An operator publishes; one VM reads the record, all others' log readers
-//    are silent. 2. A fifth of the connections between VMs are silent as well.
-// Cause: nobody but the log told them, and an open connection looked healthy.
+// Guards against a VM that never applies a new configuration because its log
+// connection went silent.
+// 1. An operator publishes; one VM reads the record, while the log connections
+//    of all others are silent.
+// 2. A fifth of the connections between VMs are silent as well.
+// It happens if only the log announces a configuration, or if an open
+// connection is assumed to work.
 for (const size of [13, 360]) {
-  test(`a config offset reaches all of ${size} VMs within its bound`, t => {
+  test(`a config offset reaches all of ${size} VMs within its time limit`, t => {
     const dataCentres = size === 13 ? 4 : 9;
     const network = new MembershipNetwork({vms: size, dataCentres, seed: SEED});
     network.run(SETTLE_MS);
@@ -58,11 +61,11 @@
   });
 }
 
-// Pauses, crashes, restarts, cuts and silent connections, in any order: once
-// they end, every VM sees exactly the VMs that live. A VM that stays "failed"
-// although it lives would get no share of the work for good; a dead one that
-// stays "alive" would keep a share for nobody.
-test('views agree with the truth some seconds after any faults', t => {
+// After pauses, crashes, restarts, partitions and silent connections in any
+// order, every VM must see exactly the VMs that are alive. A live VM that stays
+// "failed" would never get a share of the work again; a dead VM that stays
+// "alive" would keep a share that nobody uses.
+test('the view of every VM is correct a few seconds after any faults', t => {
   const fault = fc.record({
     kind: fc.constantFrom(
       'pause',
@@ -91,7 +94,8 @@
         network.run(forMs / 2);
       }
       network.reachable = () => true;
-      // All pauses are over, and failed VMs are tried one in two seconds.
+      // All pauses are over by then, and one failed VM is probed every two
+      // seconds.
       network.run(25_000);
       const live = network.nodes.filter(node => node.up);
       const serving = live.filter(
@@ -134,9 +138,9 @@
   }
 }
 
-// A dead VM keeps its share of every limit, so queues fill while it is counted.
-// 1. One of many VMs dies without a word. 2. The others go on for minutes.
-// Cause: only the lagging VM list told of it.
+// Guards against a crashed VM that keeps its share of every limit for minutes,
+// so that queues fill. It happens if the other VMs learn of the crash only from
+// the VM list, which lags.
 test('a dead VM is failed everywhere within seconds at 360 VMs', t => {
   const network = new MembershipNetwork({vms: 360, dataCentres: 9, seed: SEED});
   network.run(SETTLE_MS);
@@ -151,9 +155,10 @@
   );
 });
 
-// A silent connection must not look like a dead VM: half the connections go
-// silent for good at one moment, new ones work, and nobody may lose its share.
-test('silent connections fail nobody', t => {
+// Guards against treating a silent connection as a dead VM: half the
+// connections go silent for good at once, new ones work, and no VM may lose its
+// share.
+test('silent connections make no VM fail', t => {
   const network = new MembershipNetwork({vms: 13, dataCentres: 3, seed: SEED});
   network.run(SETTLE_MS);
   network.silenceSome(50);
--- a/packages/core/src/membership/contact.ts
+++ b/packages/core/src/membership/contact.ts
@@ -1,4 +1,4 @@
-/** What a VM keeps for each VM that it exchanges messages with. */
+/** State that a VM keeps for each VM that it exchanges messages with. */
 
 import type {InFlight} from './load_digest.js';
 import {LoadDeltaEncoder} from './load_digest.js';
@@ -6,18 +6,21 @@
 import {MEMBERSHIP_TIMING} from './membership_timing.js';
 import {Outbox} from './outbox.js';
 
-/** How far the probing of a VM that does not answer has gone. */
+/** Progress of probing a VM that does not answer. */
 export type ProbeStage =
   'none' | 'asked' | 'relinked' | 'indirect' | 'given_up';
 
-/** What is to be done next for a VM that does not answer. */
+/** Next action for a VM that does not answer. */
 export type ProbeStep = 'ping' | 'relink' | 'indirect' | 'suspect' | 'retry';
 
 export class Contact {
   lastReceivedMs: number;
-  /** Last payload received, or sent unasked. */
+  /** Time of the last payload received or probe sent. */
   private lastPayloadMs: number;
-  /** Offset of the first config record that the VM was last known to lack. */
+  /**
+   * Offset of the first config record that the VM did not have, as last
+   * reported.
+   */
   configNext = 0;
   peerInFlight: InFlight = new Map();
   encoder = new LoadDeltaEncoder();
@@ -29,10 +32,12 @@
 
   constructor(
     nowMs: number,
-    /** Of two VMs that probe each other one waits a little, so that one asks. */
+    /**
+     * Extra wait of one of two VMs that probe each other, so only one probes.
+     */
     private readonly probeDelayMs: number,
   ) {
-    // A contact made by the VM list alone is probed at once.
+    // A contact known only from the VM list is probed at once.
     this.lastReceivedMs = nowMs - MEMBERSHIP_TIMING.probePeriodMs;
     this.lastPayloadMs = this.lastReceivedMs;
   }
@@ -42,19 +47,21 @@
     this.probeStage = 'none';
   }
 
-  /** A payload came: the next one is due after a period. */
+  /** Records a received payload, which postpones the next probe by a period. */
   recordPayload(nowMs: number): void {
     this.lastPayloadMs = nowMs;
   }
 
-  /** `self`, unless this connection has carried it as it is. */
+  /** Returns `self` unless it was already sent unchanged on this connection. */
   takeUnsentSelf(self: Member): Member | undefined {
     if (this.sentSelf === self) return undefined;
     this.sentSelf = self;
     return self;
   }
 
-  /** Forgets what the last connection was told, for a new one has begun. */
+  /**
+   * Resets what was sent on the last connection, because a new one has opened.
+   */
   resetConnection(nowMs: number): void {
     this.encoder = new LoadDeltaEncoder();
     this.outbox.requeueRecent(nowMs);
@@ -62,10 +69,10 @@
   }
 
   /**
-   * Next step of the probe, if one is due. An open connection can go silent for
-   * good while new ones work; it shows as a live VM that does not answer. So
-   * silence first costs the connection, then others are asked, and only then is
-   * the VM itself doubted.
+   * Returns the next step of the probe if one is due. An open connection can go
+   * silent for good while new ones work, so that a live VM seems not to answer.
+   * Silence therefore first replaces the connection, then triggers probes by
+   * other VMs, and only then makes the VM suspected.
    */
   advanceProbe(nowMs: number): ProbeStep | undefined {
     const timing = MEMBERSHIP_TIMING;
--- a/packages/core/src/membership/contact_table.ts
+++ b/packages/core/src/membership/contact_table.ts
@@ -1,4 +1,4 @@
-/** The VMs that this VM exchanges messages with, and the news each is still to be told. */
+/** The VMs that this VM exchanges messages with, including those it probes. */
 
 import type {VmId} from '@radishyoke/shared/ids';
 import {Contact} from './contact.js';
@@ -14,7 +14,7 @@
 
   constructor(private readonly self: VmId) {}
 
-  /** The VMs that this one probes. */
+  /** The VMs that this VM probes. */
   get neighbours(): readonly VmId[] {
     return this.neighbourIds;
   }
@@ -27,7 +27,9 @@
     return this.contacts;
   }
 
-  /** The contact, made if there is room; neighbours always find some. */
+  /**
+   * Returns the contact, created if there is room; neighbours always have room.
+   */
   getOrCreate(id: VmId, nowMs: number): Contact | undefined {
     const existing = this.contacts.get(id);
     if (existing) return existing;
@@ -39,19 +41,19 @@
     return contact;
   }
 
-  /** Takes the contact out, for its VM has failed. */
+  /** Removes and returns the contact of a VM that has failed. */
   remove(id: VmId): Contact | undefined {
     const contact = this.contacts.get(id);
     this.contacts.delete(id);
     return contact;
   }
 
-  /** To be called when a VM came, left or changed its state. */
+  /** Must be called when a VM joined, left or changed its state. */
   markNeighboursStale(): void {
     this.areNeighboursStale = true;
   }
 
-  /** Drops idle contacts and chooses neighbours anew if VMs changed. */
+  /** Drops idle contacts and selects new neighbours if VMs changed. */
   refresh(
     self: Member,
     listMembers: () => readonly Member[],
@@ -64,21 +66,23 @@
     this.neighbourIds = selectNeighbours(self, live);
   }
 
-  /** Every contact gets a whole new probe. */
+  /** Restarts the probe of every contact from its first step. */
   restartProbes(nowMs: number): void {
     for (const contact of this.contacts.values()) {
       contact.recordMessage(nowMs - MEMBERSHIP_TIMING.probePeriodMs);
     }
   }
 
-  /** Has all contacts told but the one that the news came from. */
+  /** Queues a rumour for all contacts except the one that it came from. */
   queueRumour(rumour: Rumour, source?: VmId): void {
     for (const [id, contact] of this.contacts) {
       if (id !== source) contact.outbox.add(rumour);
     }
   }
 
-  /** Contacts known to hold config records past `offset`, last heard first. */
+  /**
+   * Contacts with config records past `offset`, most recently heard from first.
+   */
   listWithConfigPast(offset: number): readonly VmId[] {
     return [...this.contacts]
       .filter(([, contact]) => contact.configNext > offset)
--- a/packages/core/src/membership/gossip_message.ts
+++ b/packages/core/src/membership/gossip_message.ts
@@ -1,44 +1,48 @@
-/** What VMs tell one another. The codec in `wire` fixes the bytes. */
+/** Messages between VMs. The codec in `wire` defines their encoding. */
 
 import type {EndpointId, VmId} from '@radishyoke/shared/ids';
 import type {ConfigTransfer} from '../rules/config_history.js';
 import type {Member} from './member.js';
 
-/** News that travels from VM to VM until all have it. */
+/** An update that is passed from VM to VM until all have it. */
 export type Rumour =
   | {readonly kind: 'member'; readonly member: Member}
-  /** A request like this ran on an endpoint that crashed. */
+  /**
+   * A request with this fingerprint was running on an endpoint that crashed.
+   */
   | {readonly kind: 'suspect_request'; readonly fingerprint: string}
-  /** An endpoint stopped answering on connections that were open. */
+  /** An endpoint stopped answering on its open connections. */
   | {
       readonly kind: 'silent_endpoint';
       readonly endpoint: EndpointId;
-      /** Unix ms at the VM that noticed; tells two occasions apart. */
+      /**
+       * Unix ms at the VM that noticed it; distinguishes separate occurrences.
+       */
       readonly seenAtMs: number;
     };
 
-/** The number of works that a VM has in flight on one endpoint. */
+/** Number of work items that a VM has in flight on one endpoint. */
 export interface LoadEntry {
   readonly endpoint: EndpointId;
   readonly inFlight: number;
 }
 
-/** Changes of a VM's digest since its last message on the same connection. */
+/** Changes of a VM's load since its last message on the same connection. */
 export interface LoadDelta {
-  /** True when entries that are not named are 0. */
+  /** Whether endpoints without an entry are 0. */
   readonly full: boolean;
   readonly entries: readonly LoadEntry[];
 }
 
-/** Rides on every probe and answer. */
+/** Data carried by every probe and answer. */
 export interface GossipPayload {
-  /** Left out when the connection has carried it already. */
+  /** Omitted if it was already sent on this connection. */
   readonly self?: Member;
   readonly rumours: readonly Rumour[];
   readonly load?: LoadDelta;
   /** Offset of the first config record that the sender does not have. */
   readonly configNext: number;
-  /** A VM that knows nobody yet asks for the whole directory. */
+  /** Requests the whole directory; set by a VM that has not received it yet. */
   readonly wantsMembers: boolean;
 }
 
@@ -53,13 +57,13 @@
       readonly seq: number;
       readonly payload: GossipPayload;
     }
-  /** Asks a third VM to probe `target`. */
+  /** Asks the receiver to probe `target` for the sender. */
   | {
       readonly kind: 'probe_request';
       readonly target: VmId;
       readonly address: string;
     }
-  /** The third VM heard from `target`. */
+  /** Tells the requester of a probe that `target` sent a message. */
   | {readonly kind: 'probe_heard'; readonly target: VmId}
   | {readonly kind: 'members'; readonly members: readonly Member[]}
   | {readonly kind: 'config_request'; readonly from: number}
--- a/packages/core/src/membership/load_digest.ts
+++ b/packages/core/src/membership/load_digest.ts
@@ -1,26 +1,27 @@
 /**
- * Delta coding of what a VM has in flight by endpoint. A connection delivers in
- * order, so changes since the last message on it are enough; a new connection
- * and every `FULL_EVERY_MS` start again from the whole.
+ * Delta coding of the work items that a VM has in flight on each endpoint. A
+ * connection delivers in order, so each message carries only the changes since
+ * the last one. The complete state is sent on a new connection and every
+ * `FULL_INTERVAL_MS`.
  */
 
 import type {EndpointId} from '@radishyoke/shared/ids';
 import type {LoadDelta, LoadEntry} from './gossip_message.js';
 
-/** Endpoints that one VM sends to, by works in flight; without zeroes. */
+/** Work items in flight of one VM, by endpoint; zeroes are omitted. */
 export type InFlight = ReadonlyMap<EndpointId, number>;
 
-/** Bounds what an error in the delta coding could last. */
+/** Limits how long an error in the delta coding can last. */
 const FULL_INTERVAL_MS = 15_000;
-/** Most entries a message; the greatest changes go first, the rest next time. */
+/** Maximum entries per message; the largest changes are sent first. */
 const MAX_ENTRIES = 8;
 
-/** The sending side of one connection. */
+/** Encoder for the sending side of one connection. */
 export class LoadDeltaEncoder {
   private sent = new Map<EndpointId, number>();
   private nextFullAtMs = 0;
 
-  /** What to tell now; nothing when nothing changed. */
+  /** Returns the delta to send now; undefined if nothing changed. */
   encode(current: InFlight, nowMs: number): LoadDelta | undefined {
     const full = nowMs >= this.nextFullAtMs;
     if (full) {
@@ -58,7 +59,7 @@
   }
 }
 
-/** The receiving side: the sender's digest after `delta`. */
+/** Receiving side: returns the sender's load after `delta`. */
 export function applyLoadDelta(current: InFlight, delta: LoadDelta): InFlight {
   const next = new Map(delta.full ? [] : current);
   for (const {endpoint, inFlight} of delta.entries) {
--- a/packages/core/src/membership/member.ts
+++ b/packages/core/src/membership/member.ts
@@ -1,17 +1,18 @@
 /**
- * What one VM believes of another, and which of two beliefs holds.
+ * The belief of one VM about another, and which of two beliefs takes
+ * precedence.
  *
- * A belief carries the incarnation of the VM it is about. Only that VM raises
- * its incarnation, so that it can always answer a wrong suspicion with a newer
- * belief about itself, and old news never overrides newer news.
+ * A belief carries the incarnation of its subject. Only that VM raises its
+ * incarnation, so it can always refute a wrong suspicion with a newer belief
+ * about itself, and older beliefs never override newer ones.
  */
 
 import type {DataCentreId, VmId} from '@radishyoke/shared/ids';
 
-/** `leaving` VMs answer peers but take no new work; `failed` ones are gone. */
+/** `leaving` VMs answer peers but accept no new work; `failed` VMs are gone. */
 export type MemberState = 'alive' | 'leaving' | 'suspect' | 'failed';
 
-/** Index is the code on the wire; later states win at equal incarnations. */
+/** The index is the wire code; at equal incarnations later states win. */
 export const MEMBER_STATES: readonly MemberState[] = [
   'alive',
   'leaving',
@@ -27,12 +28,12 @@
   /** `ip:port` of the VM's caller listener. */
   readonly callerAddress: string;
   readonly dataCentre: DataCentreId;
-  /** 0 when known from the VM list only. */
+  /** 0 if the VM is only known from the VM list. */
   readonly incarnation: number;
   readonly state: MemberState;
 }
 
-/** Whether `news` replaces `held`. A strict order: equal beliefs do not. */
+/** Whether `update` replaces `current`; an equal belief does not. */
 export function supersedes(update: Member, current: Member): boolean {
   if (update.incarnation !== current.incarnation) {
     return update.incarnation > current.incarnation;
@@ -42,7 +43,7 @@
   );
 }
 
-/** Whether the VM counts as one of those that share the work. */
+/** Whether the VM counts among the VMs that share the work. */
 export function isServing(member: Member): boolean {
   return member.state === 'alive' || member.state === 'suspect';
 }
--- a/packages/core/src/membership/member_directory.ts
+++ b/packages/core/src/membership/member_directory.ts
@@ -1,6 +1,6 @@
 /**
- * Every VM that this VM knows by name, with what it believes of each. Bounded:
- * a VM beyond the capacity is not taken in, whoever tells of it.
+ * Directory of all VMs that this VM knows, with its current belief about each.
+ * Bounded: a VM beyond the capacity is ignored, whoever reports it.
  */
 
 import type {VmInfo} from '@radishyoke/shared/endpoint';
@@ -10,11 +10,11 @@
 
 interface DirectoryEntry {
   readonly member: Member;
-  /** Unix ms at which the belief was taken. */
+  /** Unix ms at which the belief was recorded. */
   readonly sinceMs: number;
 }
 
-/** `refreshed`: newer news of the same state. */
+/** `refreshed`: a newer belief with the same state. */
 export type MergeResult = 'ignored' | 'refreshed' | 'changed';
 
 export class MemberDirectory {
@@ -32,7 +32,7 @@
     return [...this.entries.values()].map(entry => entry.member);
   }
 
-  /** Whether any VM not failed is known otherwise than from the VM list. */
+  /** Whether any VM that has not failed is known from more than the VM list. */
   hasConfirmedMember(): boolean {
     for (const {member} of this.entries.values()) {
       if (member.incarnation > 0 && member.state !== 'failed') return true;
@@ -44,7 +44,7 @@
     return this.entries.size;
   }
 
-  /** Takes `news` in if it is newer than what is held. */
+  /** Records `update` if it supersedes the current belief. */
   merge(update: Member, nowMs: number): MergeResult {
     const current = this.entries.get(update.id)?.member;
     if (current && !supersedes(update, current)) return 'ignored';
@@ -57,7 +57,7 @@
     return current?.state === update.state ? 'refreshed' : 'changed';
   }
 
-  /** Takes the VM list in; returns the beliefs whose state changed by it. */
+  /** Applies the VM list; returns the beliefs whose state it changed. */
   applyVmList(vms: readonly VmInfo[], nowMs: number): readonly Member[] {
     const previous = this.listedVms;
     this.listedVms = new Map(vms.map(vm => [vm.id, vm]));
@@ -67,7 +67,7 @@
     return updates.filter(member => this.merge(member, nowMs) === 'changed');
   }
 
-  /** VMs suspected since `beforeMs` or longer. */
+  /** VMs that have been suspected since `beforeMs` or earlier. */
   listSuspectedSince(beforeMs: number): readonly Member[] {
     return [...this.suspectIds]
       .map(id => this.entries.get(id)!)
@@ -75,7 +75,7 @@
       .map(entry => entry.member);
   }
 
-  /** Gives every suspect its whole time again. */
+  /** Restarts the time that every suspected VM has to refute. */
   restartSuspicions(nowMs: number): void {
     for (const id of this.suspectIds) {
       const {member} = this.entries.get(id)!;
@@ -83,7 +83,9 @@
     }
   }
 
-  /** Drops VMs that failed before `beforeMs` and that the VM list does not name. */
+  /**
+   * Drops VMs that failed before `beforeMs` and are not on the VM list.
+   */
   dropFailed(beforeMs: number): void {
     for (const [id, {member, sinceMs}] of this.entries) {
       const isExpired = member.state === 'failed' && sinceMs <= beforeMs;
@@ -92,9 +94,10 @@
   }
 
   /**
-   * The list lags: it may call a VM leaving whose process was replaced since.
-   * It shows as a new VM that gets no work. Only the change to leaving counts,
-   * and only against the incarnation known when it was seen.
+   * Converts an entry of the VM list to a belief. The list lags, so it may
+   * still call a VM leaving whose process was replaced, and the new process
+   * would get no work. So only a change to leaving counts, and only for the
+   * incarnation known when the change is seen.
    */
   private toUpdate(vm: VmInfo, previous: VmInfo | undefined): Member {
     const {id, peerAddress, callerAddress, dataCentre} = vm;
--- a/packages/core/src/membership/membership.ts
+++ b/packages/core/src/membership/membership.ts
@@ -1,11 +1,12 @@
 /**
- * Which VMs of the service live, and what they tell one another.
+ * Gossip membership: which VMs are alive, and the updates they exchange.
  *
- * A state machine: events in, actions out, no I/O and no clock. Each VM probes
- * a bounded set of neighbours. Silence leads to a new connection, to probes by
- * others, to suspicion and only then to failure; the suspected VM refutes by a
- * higher incarnation. Load digests, crashes, silent endpoints and config
- * offsets ride on the same messages.
+ * A state machine with events as input and actions as output, without I/O or a
+ * clock. Each VM probes a bounded set of neighbours. A VM that does not answer
+ * is probed on a new connection, then by other VMs, is then suspected and
+ * finally failed; it refutes a suspicion with a higher incarnation. Load,
+ * crashes, silent endpoints and config offsets are carried by the same
+ * messages.
  */
 
 import type {VmId} from '@radishyoke/shared/ids';
@@ -31,7 +32,7 @@
 import {RelayTable} from './relay_table.js';
 import {RumourFilter} from './rumour_filter.js';
 
-/** One in so many messages without news carries a belief. */
+/** One in this many messages without rumours carries a random belief. */
 const FILLER_INTERVAL = 4;
 
 export class Membership {
@@ -57,7 +58,7 @@
   private nextAnnounceAtMs = 0;
   private actions: MembershipAction[] = [];
 
-  /** `seed` is random bits; equal seeds and events give equal actions. */
+  /** `seed` is random bits; equal seeds and events produce equal actions. */
   constructor(
     private readonly cfg: MembershipConfig,
     seed: number,
@@ -73,7 +74,10 @@
     this.nextFailedProbeAtMs = nowMs + MEMBERSHIP_TIMING.probeFailedEveryMs;
   }
 
-  /** Takes one event at `nowMs` (Unix ms) and returns what is to be done, in order. */
+  /**
+   * Handles one event at `nowMs` (Unix ms) and returns the resulting actions in
+   * order.
+   */
   handle(event: MembershipEvent, nowMs: number): readonly MembershipAction[] {
     this.actions = [];
     this.apply(event, nowMs);
@@ -81,7 +85,7 @@
     return this.actions;
   }
 
-  /** Every VM known, this one included. */
+  /** All VMs in the directory and this VM, which comes first. */
   listMembers(): readonly Member[] {
     return [this.self, ...this.directory.list()];
   }
@@ -144,9 +148,9 @@
   }
 
   /**
-   * This VM was paused and holds answers that it has not read yet. Without this
-   * it would blame its neighbours for its own silence and declare live VMs
-   * failed; so every neighbour gets a whole new probe.
+   * Restarts all probes after a pause of this VM. Answers may have arrived that
+   * it has not read yet, and without the restart it would declare live
+   * neighbours failed because of its own pause.
    */
   private recoverFromPause(nowMs: number): void {
     this.contacts.restartProbes(nowMs);
@@ -193,7 +197,7 @@
   private suspect(id: VmId, nowMs: number): void {
     const member = this.directory.get(id);
     if (!member) return;
-    // A VM that said it leaves and then falls silent has left.
+    // A VM that announced its leaving and then stops answering has left.
     const state = member.state === 'leaving' ? 'failed' : 'suspect';
     this.merge({...member, state}, nowMs);
   }
@@ -201,8 +205,9 @@
   private failSuspects(nowMs: number): void {
     const timing = MEMBERSHIP_TIMING;
     const silentMs = nowMs - this.lastReceivedMs;
-    // A VM cut off from all sees everybody silent. It shows as a VM that takes
-    // the whole service for its own and sends every endpoint the load of all.
+    // To a VM that is cut off, all other VMs seem silent. If it failed them, it
+    // would claim the whole capacity of the service and send each endpoint the
+    // load of all VMs.
     const isIsolated = silentMs > timing.isolatedAfterMs;
     const waitMs = isIsolated ? timing.failAfterIsolatedMs : timing.failAfterMs;
     for (const member of this.directory.listSuspectedSince(nowMs - waitMs)) {
@@ -210,7 +215,7 @@
     }
   }
 
-  /** Probes one failed VM now and then: a cut between regions heals unannounced. */
+  /** Probes one failed VM at intervals, to detect the end of a partition. */
   private probeFailedMember(nowMs: number): void {
     if (nowMs < this.nextFailedProbeAtMs) return;
     this.nextFailedProbeAtMs = nowMs + MEMBERSHIP_TIMING.probeFailedEveryMs;
@@ -316,9 +321,9 @@
   }
 
   /**
-   * Tells a VM that holds old news of another what is known here. Without this
-   * a VM known to some from the VM list alone is failed among these, while those
-   * who heard of it hold their newer belief and never learn of the failure.
+   * Sends the current belief to a VM that reported an older one. Otherwise VMs
+   * that know a VM only from the VM list would fail it among themselves, while
+   * VMs with a newer belief about it would never learn of the failure.
    */
   private sendCorrection(update: Member, source: VmId): void {
     const current = this.directory.get(update.id);
@@ -327,10 +332,11 @@
     this.contacts.get(source)?.outbox.add(rumour);
   }
 
-  /** Passes news on that is not about a VM; false when it was known. */
+  /** Spreads a rumour that is not about a VM; returns false if it was known. */
   private spreadIfNew(rumour: Rumour, source?: VmId): boolean {
     if (!this.rumours.recordIfNew(rumour)) return false;
-    // A resent request that crashes endpoints must not outrun the warning.
+    // The warning must spread faster than a resent request that crashes
+    // endpoints.
     this.hasUrgentNews = true;
     this.contacts.queueRumour(rumour, source);
     return true;
@@ -341,7 +347,7 @@
     const previous = this.directory.get(update.id);
     const result = this.directory.merge(update, nowMs);
     if (result === 'ignored') return;
-    // That a VM on the VM list was heard of is no news to anybody.
+    // First contact with a VM on the VM list is not worth spreading.
     const isFirstContact =
       previous?.incarnation === 0 && result === 'refreshed';
     if (!isFirstContact)
@@ -350,9 +356,9 @@
   }
 
   /**
-   * Others take this VM for dead, as after a pause, or hold news of an earlier
-   * life of it, as after its clock was set back. A higher incarnation overrides
-   * both, and only this VM may raise it.
+   * Refutes a wrong belief about this VM: that it is dead, as after a pause, or
+   * one about an earlier process with a higher incarnation, as after its clock
+   * was set back. Only this VM may raise its incarnation, which overrides both.
    */
   private refute(update: Member): void {
     if (!supersedes(update, this.self)) return;
@@ -391,7 +397,7 @@
     if (source) this.send(source, {kind: 'config_request', from});
   }
 
-  /** Does not wait for the next probe with what others must soon know. */
+  /** Sends urgent updates at once instead of waiting for the next probe. */
   private announceIfDue(nowMs: number): void {
     const isDue = this.isOffsetPending || this.hasUrgentNews;
     if (!isDue || nowMs < this.nextAnnounceAtMs) return;
@@ -440,7 +446,7 @@
   ): readonly Rumour[] {
     const pending = contact?.outbox.takeBatch(nowMs) ?? [];
     const recipient = this.directory.get(to);
-    // A VM that is doubted hears of it, so that it can refute at once.
+    // A suspected or failed VM is sent that belief, so that it can refute it.
     const isDoubted =
       recipient?.state === 'suspect' || recipient?.state === 'failed';
     if (isDoubted) return [{kind: 'member', member: recipient}, ...pending];
@@ -450,7 +456,7 @@
     return filler ? [{kind: 'member', member: filler}] : pending;
   }
 
-  /** When there is no news, any belief: it mends what was ever missed. */
+  /** Chooses a random belief, which in time repairs any lost update. */
   private chooseFiller(to: VmId): Member | undefined {
     const members = this.directory.list();
     const member = members[pickRandomBelow(this.random, members.length)];
--- a/packages/core/src/membership/membership_timing.ts
+++ b/packages/core/src/membership/membership_timing.ts
@@ -1,50 +1,67 @@
-/** Times and bounds of the membership protocol, with what each rests on. */
+/** Times and limits of the membership protocol, with their reasons. */
 
 export const MEMBERSHIP_TIMING = {
-  /** A neighbour not heard for this long is probed. */
+  /** A neighbour is probed after this time without a payload from it. */
   probePeriodMs: 1000,
-  /** The second of two VMs that probe each other waits this much longer. */
+  /** Of two VMs that probe each other, one waits this much longer. */
   probeDelayMs: 300,
-  /** Probe to a new connection: over ten times the slowest link between regions. */
+  /**
+   * Time from a probe to a new connection: over ten times the latency of the
+   * slowest link between regions.
+   */
   relinkAfterMs: 600,
-  /** Probe to asking others. */
+  /** Time from a probe to requesting probes by other VMs. */
   indirectAfterMs: 1200,
-  /** Probe to suspicion. */
+  /** Time from a probe to suspicion. */
   suspectAfterMs: 2200,
-  /** Suspicion to failure: time for the VM to hear of it and answer. */
+  /**
+   * Time from suspicion to failure, in which the VM can learn of it and refute.
+   */
   failAfterMs: 2500,
-  /** The same while this VM hears nobody, for then it is likely the one cut off. */
+  /**
+   * The same while this VM receives nothing, as it is then likely cut off
+   * itself.
+   */
   failAfterIsolatedMs: 15_000,
-  /** Hearing nobody for this long counts as cut off. */
+  /** A VM that receives nothing for this long counts as cut off. */
   isolatedAfterMs: 2000,
-  /** A gap between ticks that only a pause of this VM explains. */
+  /** A longer gap between ticks means that this VM was paused. */
   pausedAfterMs: 1000,
-  /** One failed VM in turn is probed this often, so that a healed cut is seen. */
+  /**
+   * One random failed VM is probed this often, to detect a healed partition.
+   */
   probeFailedEveryMs: 2000,
-  /** Failed VMs that the VM list does not name are kept this long. */
+  /** Failed VMs that are not on the VM list are kept this long. */
   forgetAfterMs: 600_000,
-  /** Seeds are dialled this often while no other VM is known. */
+  /** One seed is dialled this often while no other VM is known. */
   dialEveryMs: 1000,
-  /** A VM that is not a neighbour and was not heard for this long is no contact. */
+  /**
+   * A contact that is not a neighbour is dropped after this time of silence.
+   */
   contactIdleMs: 10_000,
-  /** An unanswered request for config records goes to another VM after this. */
+  /**
+   * An unanswered request for config records is retried at another VM after
+   * this.
+   */
   configRetryMs: 700,
-  /** News told this long before a connection was replaced is told again. */
+  /**
+   * Rumours sent within this time before a connection was replaced are resent.
+   */
   resendWindowMs: 3000,
-  /** At most one announcement of urgent news in this time. */
+  /** Minimum interval between announcements of urgent updates. */
   announceEveryMs: 300,
 } as const;
 
 export const MEMBERSHIP_LIMITS = {
-  /** VMs known by name; about 200 bytes each. */
+  /** VMs in the directory; about 200 bytes each. */
   directory: 1024,
   contacts: 64,
-  /** VMs asked to probe a third. */
+  /** VMs that are asked for an indirect probe. */
   helpers: 3,
-  /** Pieces of news held for one contact. */
+  /** Rumours queued for one contact. */
   outbox: 1024,
   rumoursPerMessage: 6,
-  /** Rumours remembered so as not to be told twice. */
+  /** Rumours remembered so that none is spread twice. */
   seenRumours: 4096,
   membersPerMessage: 256,
   relays: 64,
--- a/packages/core/src/membership/neighbour_view.ts
+++ b/packages/core/src/membership/neighbour_view.ts
@@ -1,17 +1,18 @@
 /**
- * Which VMs a VM probes. Up to `MAX_NEIGHBOURS` VMs, all; beyond that a fixed
- * number, so that what a VM sends does not grow with the number of VMs.
+ * Selects the VMs that a VM probes. With up to `MAX_NEIGHBOURS` other VMs it
+ * probes all of them, with more a fixed number, so that its traffic does not
+ * grow with the number of VMs.
  *
- * All VMs stand on a ring in the order of a hash of their ids. Each probes the
- * next few of its own data centre and the next few of the others. Every VM thus
- * has predecessors that watch it, whoever else fails, and news crosses the ring
- * by the links between data centres in a few hops.
+ * All VMs form a ring in the order of a hash of their ids. Each VM probes the
+ * next few VMs of its own data centre and the next few of the others. So every
+ * VM is watched by its predecessors, whichever VMs fail, and rumours cross the
+ * ring over the links between data centres in a few hops.
  */
 
 import type {VmId} from '@radishyoke/shared/ids';
 import type {Member} from './member.js';
 
-/** Today's 13 VMs all probe one another. */
+/** Up to this many other VMs are all probed, as in a deployment of 13 VMs. */
 export const MAX_NEIGHBOURS = 16;
 const LOCAL_NEIGHBOURS = 5;
 const REMOTE_NEIGHBOURS = 3;
@@ -19,18 +20,20 @@
 const FNV_OFFSET = 0x811c9dc5;
 const FNV_PRIME = 0x01000193;
 
-/** A VM's place on the ring. */
+/** Returns a VM's position on the ring. */
 export function computeRingPosition(id: VmId): number {
   let hash = FNV_OFFSET;
   for (let i = 0; i < id.length; i++) {
     hash = Math.imul(hash ^ id.charCodeAt(i), FNV_PRIME);
   }
-  // FNV leaves ids that differ in the last character next to each other.
+  // FNV gives ids that differ only in the last character adjacent positions.
   hash = Math.imul(hash ^ (hash >>> 16), 0x45d9f3b);
   return (hash ^ (hash >>> 16)) >>> 0;
 }
 
-/** The VMs that `self` probes, out of those not failed. */
+/**
+ * Returns the VMs that `self` probes out of `others`, which have not failed.
+ */
 export function selectNeighbours(
   self: Member,
   others: readonly Member[],
--- a/packages/core/src/membership/outbox.ts
+++ b/packages/core/src/membership/outbox.ts
@@ -1,7 +1,7 @@
 /**
- * News that one contact is still to be told. Each piece goes to each contact
- * once, the newest first and a bounded number a message, so that a storm of
- * news slows old news down but neither fresh news nor the VM.
+ * Rumours still to be sent to one contact. Each rumour is sent to each contact
+ * once, newest first and a bounded number per message, so that a burst of
+ * rumours delays old rumours but neither new ones nor the VM.
  */
 
 import type {Rumour} from './gossip_message.js';
@@ -16,7 +16,7 @@
   private readonly pending = new Map<string, Rumour>();
   private sent: SentRumour[] = [];
 
-  /** Newer news about the same subject replaces the older. */
+  /** Queues a rumour, replacing an older one about the same subject. */
   add(rumour: Rumour): void {
     const key = toRumourKey(rumour);
     this.pending.delete(key);
@@ -26,7 +26,7 @@
     this.pending.delete(oldest);
   }
 
-  /** The share of one message. */
+  /** Removes and returns the rumours for one message. */
   takeBatch(nowMs: number): readonly Rumour[] {
     if (this.pending.size === 0) return [];
     const chosen = [...this.pending.values()]
@@ -41,9 +41,10 @@
   }
 
   /**
-   * The connection was replaced. What was told on a connection that had gone
-   * silent never arrived; it shows as a VM that misses a failure or a crash.
-   * So all that was told since it can have gone silent is told again.
+   * Queues recently sent rumours again after the connection was replaced.
+   * Rumours sent on a connection that had gone silent never arrived, and the VM
+   * would miss a failure or a crash. All rumours that may have been lost this
+   * way are resent.
    */
   requeueRecent(nowMs: number): void {
     const sinceMs = nowMs - MEMBERSHIP_TIMING.resendWindowMs;
@@ -55,7 +56,7 @@
   }
 }
 
-/** Names what a rumour is about. */
+/** Returns a key for the subject of a rumour. */
 export function toRumourKey(rumour: Rumour): string {
   switch (rumour.kind) {
     case 'member':
--- a/packages/core/src/membership/relay_table.ts
+++ b/packages/core/src/membership/relay_table.ts
@@ -1,4 +1,4 @@
-/** Probes that this VM sends for others, which could not reach their target. */
+/** Probes that this VM sends for VMs that could not reach the target. */
 
 import type {VmId} from '@radishyoke/shared/ids';
 import {MEMBERSHIP_LIMITS, MEMBERSHIP_TIMING} from './membership_timing.js';
@@ -14,10 +14,13 @@
   add(requester: VmId, target: VmId, nowMs: number): void {
     if (this.relays.size >= MEMBERSHIP_LIMITS.relays) this.relays.clear();
     const expiresAtMs = nowMs + MEMBERSHIP_TIMING.suspectAfterMs;
-    this.relays.set(target, {requester, expiresAtMs: expiresAtMs});
+    this.relays.set(target, {requester, expiresAtMs});
   }
 
-  /** Takes out who is to be told that `target` was heard, if in time. */
+  /**
+   * Removes the relay for `target`, which has sent a message; returns the VM to
+   * inform unless the relay has expired.
+   */
   takeRequester(target: VmId, nowMs: number): VmId | undefined {
     const relay = this.relays.get(target);
     this.relays.delete(target);
--- a/packages/core/src/membership/rumour_filter.ts
+++ b/packages/core/src/membership/rumour_filter.ts
@@ -1,4 +1,4 @@
-/** Tells news that is heard for the first time from news that went round already. */
+/** Filters out rumours that this VM has already seen. */
 
 import type {Rumour} from './gossip_message.js';
 import {MEMBERSHIP_LIMITS} from './membership_timing.js';
@@ -7,7 +7,7 @@
 export class RumourFilter {
   private readonly seen = new Set<string>();
 
-  /** Whether the rumour is new; it is not the next time. */
+  /** Returns whether the rumour is new, and records it as seen. */
   recordIfNew(rumour: Rumour): boolean {
     const occasion = rumour.kind === 'silent_endpoint' ? rumour.seenAtMs : '';
     const key = `${toRumourKey(rumour)}:${occasion}`;
--- a/packages/core/src/membership/suspect_table.ts
+++ b/packages/core/src/membership/suspect_table.ts
@@ -1,23 +1,23 @@
-/** Requests that ran on endpoints when these crashed. */
+/** Requests that were running on an endpoint when it crashed. */
 
 import type {EndpointId} from '@radishyoke/shared/ids';
 
-/** One fingerprint: endpoints it crashed, with the time of the last crash. */
+/** Fingerprint, endpoints that crashed while it ran there, last crash time. */
 export type SuspectEntry = readonly [string, readonly EndpointId[], number];
 
-/** What is known of one fingerprint. */
+/** Crash history of one fingerprint. */
 export interface Suspect {
   readonly endpoints: readonly EndpointId[];
   readonly lastCrashAtMs: number;
   readonly crashes: number;
 }
 
-/** Crashes remembered of one fingerprint. */
+/** Maximum crashes kept for each fingerprint. */
 const MAX_ENDPOINTS_KEPT = 8;
-/** Fingerprints kept at most; over it the oldest go first. */
+/** Maximum fingerprints kept; the oldest are dropped first. */
 const MAX_SUSPECTS = 10_000;
 
-/** Fingerprints by the crashes that they took part in. */
+/** Crash histories by request fingerprint. */
 export class SuspectTable {
   private readonly suspects = new Map<
     string,
--- a/packages/core/src/steps/__tests__/step_machine.spec.ts
+++ b/packages/core/src/steps/__tests__/step_machine.spec.ts
@@ -51,7 +51,7 @@
   );
 }
 
-/** What the log answers to the commit of `sample` at `cursor`. */
+/** Creates the input for the commit of `sample` at `cursor` in the log. */
 function createCommitted(sample: number, cursor: number): StepInput {
   const output = {attempt: 1, endpoint: toEndpointId('e'), spans: []};
   const committed = {...output, group: 0, sample, cursor, digest: ''};
@@ -64,7 +64,7 @@
   );
 }
 
-test('hands over only what the log holds, in cursor order', t => {
+test('sends only committed samples, in cursor order', t => {
   const machine = createMachine(2);
   t.is(machine.begin().filter(o => o.kind === 'run').length, 2);
   machine.handle({kind: 'attached', cursor: 0, weightVersion: 5}, 0);
@@ -81,11 +81,11 @@
   t.like(last.at(-1), {kind: 'close', reason: 'complete'});
 });
 
-// A trainer would learn from output older than its bound.
-// 1. A rollout of version 4 is committed while no connection is open.
-// 2. The trainer comes back two versions later with a bound of one.
-// Cause: freshness was checked only when the rollout finished.
-test('takes back a winner that became stale before it was handed over', t => {
+// Guards against a trainer receiving output older than its staleness bound.
+// 1. A rollout of version 5 is committed while no connection is open.
+// 2. The trainer reconnects two versions later with a bound of one.
+// It happens if staleness is checked only when the rollout finishes.
+test('voids a winner that became stale before it was sent', t => {
   const machine = createMachine(1);
   machine.begin();
   finish(machine, 0, 5);
@@ -99,10 +99,12 @@
   t.true(out.some(o => o.kind === 'run' && o.minWeightVersion === 6));
 });
 
-// A trainer would receive a rollout twice after its owner's VM was replaced.
+// Guards against a trainer receiving a rollout twice after the owner was
+// replaced.
 // 1. The old owner commits cursors 1 and 2; the trainer receives only 1.
-// 2. A new owner reads the log; no engine still has the text of cursor 2.
-// Cause: the new owner runs a sample again before it knows what was received.
+// 2. A new owner reads the log; no engine still has the text of either cursor.
+// It happens if the new owner runs a sample again before it knows what the
+// trainer has received.
 test('a new owner runs again only what the trainer has not received', t => {
   const committed = [0, 1].map(sample => ({
     group: 0,
@@ -154,9 +156,9 @@
   );
 });
 
-// A step ends short although its deadline is minutes off.
-// 1. All endpoints of the group are gone for a moment; the scheduler refuses.
-// Cause: a refusal that passes by itself was taken for the sample's end.
+// Guards against a step that ends with too few samples minutes before its
+// deadline. It happens if the scheduler's refusal while all endpoints of a
+// group are briefly gone ends the sample.
 test('a sample that no endpoint could take runs again', t => {
   const machine = createMachine(1);
   machine.begin();
@@ -171,9 +173,9 @@
   t.like(machine.handle({kind: 'tick'}, 1200), {0: {kind: 'run', sample: 0}});
 });
 
-// A step never ends, or its VM stands still, because of one wrong number.
-// 1. A trainer connects with a cursor far beyond anything committed.
-// Cause: its word was taken for what it had read.
+// Guards against a step that never ends, or a VM that blocks, when a trainer
+// connects with a cursor far beyond anything committed. It happens if the
+// cursor is accepted without a check.
 test('a cursor beyond what was committed skips nothing', t => {
   const machine = createMachine(1);
   machine.begin();
--- a/packages/core/src/steps/__tests__/weight_rollout.spec.ts
+++ b/packages/core/src/steps/__tests__/weight_rollout.spec.ts
@@ -14,7 +14,7 @@
 type OrderBehaviour =
   'loads' | 'fails' | 'fails_later' | 'lost' | 'answer_lost';
 
-/** Engines that treat each order as the case says. */
+/** Engines that handle each order according to `behaviours`. */
 class Fleet {
   nowMs = 0;
   readonly versions = new Map(ENGINES.map(id => [id, 1]));
@@ -57,10 +57,12 @@
   }
 }
 
-// Engines stay on old weights, or all stop at once to load new ones.
-// 1. Orders are lost, refused, or fail after they were taken.
-// 2. New versions come meanwhile.
-// Cause: what was ordered is taken for what runs, or all are ordered together.
+// Guards against engines that stay on old weights or all stop at the same time
+// to load new ones.
+// 1. Orders are lost, refused, or fail after they were accepted.
+// 2. New versions are published meanwhile.
+// It happens if an ordered version is assumed to run, or if all engines are
+// ordered together.
 test('all engines reach the newest weights, a wave at a time', t => {
   const behaviourArbitrary = fc.constantFrom<OrderBehaviour>(
     'loads',
@@ -89,11 +91,13 @@
   t.pass();
 });
 
-// Two VMs order weights, and engines go back and forth between versions.
-// 1. A holder is paused; its lease lapses and another VM orders newer weights.
-// 2. It wakes and goes on; an engine that checks fencing numbers refuses it.
-// Cause: a holder can't see by itself that it no longer is one.
-test('a holder that an engine calls superseded orders no more', t => {
+// Guards against two VMs ordering weights, so that engines switch back and
+// forth between versions.
+// 1. A holder is paused; its lease expires and another VM orders newer weights.
+// 2. It resumes and continues; an engine that checks fencing numbers refuses
+//    its order.
+// It happens because a holder can not detect by itself that it lost the lease.
+test('a holder that an engine reports as superseded sends no more orders', t => {
   const rollout = new WeightRollout(7);
   const reported = ENGINES.map(id => ({id, weightVersion: 1}));
   const [order] = rollout.plan(reported, 2, 0);
@@ -102,11 +106,12 @@
   t.deepEqual(rollout.plan(reported, 3, 60_000), []);
 });
 
-// Trainers wait for fresh rollouts long after new weights came out.
+// Guards against trainers waiting for fresh rollouts long after new weights
+// were published.
 // 1. New weights are ordered; the connections to the first engines went silent.
-// 2. The orders vanish, and all other engines wait for them.
-// Cause: an order that nobody answered was waited for like a swap under way.
-test('orders that vanish hold the other engines up for seconds only', t => {
+// 2. The orders are lost, and all other engines wait for these engines.
+// It happens if an unanswered order has the same timeout as a swap in progress.
+test('lost orders delay the other engines only for seconds', t => {
   const behaviours = Array.from<OrderBehaviour>({length: WAVE}).fill('lost');
   const fleet = new Fleet(new WeightRollout(7), behaviours);
   while (fleet.sentAtMs.length <= WAVE && fleet.nowMs < 60_000) fleet.run(2);
--- a/packages/core/src/steps/delivery.ts
+++ b/packages/core/src/steps/delivery.ts
@@ -1,12 +1,12 @@
 /**
- * How far the trainer of a step has been sent and has read: the cursors that the
- * log gave out, and which samples are next.
+ * Tracks delivery to the trainer of a step: the cursors that the log assigned,
+ * how far they were sent and acknowledged, and which samples are next.
  */
 
 import type {SampleStates, SettledState} from './sample_states.js';
 import type {SampleRef} from './step_message.js';
 
-/** A committed sample that the trainer has not been sent. */
+/** A committed sample that has not been sent to the trainer. */
 export interface Deliverable {
   readonly ref: SampleRef;
   readonly state: SettledState;
@@ -16,12 +16,17 @@
 export class Delivery {
   private readonly refs = new Map<number, SampleRef>();
   private highestCursor: number;
-  /** Cursors up to here were given out before this owner; some were voided. */
+  /**
+   * Cursors up to here were assigned under earlier owners; some were voided.
+   */
   private readonly inheritedCursor: number;
   private lastAcknowledged: number;
   private lastSent = 0;
 
-  /** Both from the log: the highest cursor given out, and the last one read. */
+  /**
+   * `highestCursor` is the highest cursor that the log assigned and
+   * `acknowledgedCursor` the last one that the trainer acknowledged in the log.
+   */
   constructor(
     private readonly states: SampleStates,
     highestCursor: number,
@@ -40,12 +45,12 @@
     return this.lastSent;
   }
 
-  /** Takes a sample that an earlier owner committed. */
+  /** Adds a sample that an earlier owner committed. */
   adopt(cursor: number, ref: SampleRef): void {
     this.refs.set(cursor, ref);
   }
 
-  /** The log holds the sample at `cursor`. */
+  /** Records that the log contains the sample at `cursor`. */
   recordCommitted(cursor: number, ref: SampleRef): void {
     this.refs.set(cursor, ref);
     this.highestCursor = Math.max(this.highestCursor, cursor);
@@ -58,7 +63,9 @@
     return this.refs.get(cursor);
   }
 
-  /** The trainer connected, having read up to `cursor`. */
+  /**
+   * Restarts sending after `cursor`, up to which a connected trainer has read.
+   */
   restartAt(cursor: number): void {
     this.lastSent = this.limitToCommitted(cursor);
   }
@@ -67,7 +74,9 @@
     this.lastSent = Math.max(this.lastSent, cursor);
   }
 
-  /** The trainer has read up to `cursor`; false if that is no news. */
+  /**
+   * Records that the trainer read up to `cursor`; returns whether that is new.
+   */
   acknowledge(cursor: number): boolean {
     const bounded = this.limitToCommitted(cursor);
     if (bounded <= this.lastAcknowledged) return false;
@@ -79,8 +88,9 @@
   }
 
   /**
-   * Committed samples the trainer has not been sent, in cursor order, up to the
-   * first that is not at hand: a cursor must never be passed by a higher one.
+   * Committed samples not yet sent to the trainer, in cursor order, up to the
+   * first whose output is not available: no cursor may be sent before a lower
+   * one.
    */
   listDeliverable(): readonly Deliverable[] {
     const deliverable: Deliverable[] = [];
@@ -111,9 +121,9 @@
   }
 
   /**
-   * A trainer can have read no further than was ever committed. Taking its word
-   * for more would skip what is yet to come, and a huge number would keep this
-   * process busy with cursors that do not exist.
+   * Limits a cursor from the trainer to the highest committed one. Accepting a
+   * higher one would skip samples that are still to come, and a huge one would
+   * keep this process busy with cursors that do not exist.
    */
   private limitToCommitted(cursor: number): number {
     return Math.min(cursor, this.highestCursor);
--- a/packages/core/src/steps/sample_states.ts
+++ b/packages/core/src/steps/sample_states.ts
@@ -1,4 +1,4 @@
-/** Where each sample of a step stands at the step's owner. */
+/** States of the samples of a step, as tracked by the step's owner. */
 
 import type {RadishyokeError} from '@radishyoke/shared/error_kind';
 import type {CommittedSample} from '@radishyoke/shared/log_record';
@@ -11,12 +11,14 @@
 
 export type SampleState =
   | {readonly kind: 'running'}
-  /** No endpoint could take it; it runs again then. */
+  /** No endpoint could take the sample; it runs again at `untilMs`. */
   | {readonly kind: 'waiting'; readonly untilMs: number}
-  /** Text and error wait here for the log, then for the trainer. */
+  /**
+   * Has an output or an error, which awaits its commit and then the trainer.
+   */
   | {
       readonly kind: 'settled';
-      /** Position in the trainer's stream; absent until the log holds it. */
+      /** Position in the trainer's stream; absent until the log contains it. */
       readonly cursor?: number;
       readonly output?: SampleOutput;
       readonly shortfall?: RadishyokeError;
@@ -24,7 +26,7 @@
   | {
       readonly kind: 'recovering';
       readonly committed: CommittedSample;
-      /** No engine has the text any more. */
+      /** Whether no engine has the text any more. */
       readonly lost: boolean;
     }
   | {readonly kind: 'acknowledged'; readonly shortfall: boolean};
@@ -37,7 +39,7 @@
   readonly state: SampleState;
 }
 
-/** What a step has brought: rollouts, and samples that ended without one. */
+/** Counts of the rollouts of a step and of samples that ended without one. */
 export interface StepTotals {
   readonly rollouts: number;
   readonly shortfalls: number;
@@ -64,12 +66,12 @@
     return this.get(ref)?.kind === 'running';
   }
 
-  /** All entries as they are now; states may be set while going through them. */
+  /** Returns a copy of all entries, so states may be set while iterating. */
   list(): readonly SampleEntry[] {
     return [...this.entries.values()];
   }
 
-  /** Gives up on what no engine has given back so far. */
+  /** Marks every sample that is still being recovered as lost. */
   markAllLost(): void {
     for (const {ref, state} of this.list()) {
       if (state.kind !== 'recovering') continue;
@@ -92,7 +94,7 @@
     };
   }
 
-  /** Totals once all has been sent up to `sentCursor`; undefined before. */
+  /** Returns the totals if `sentCursor` covers all samples, else undefined. */
   countIfAllSent(sentCursor: number): StepTotals | undefined {
     let rollouts = 0;
     let shortfalls = 0;
--- a/packages/core/src/steps/step_ledger.ts
+++ b/packages/core/src/steps/step_ledger.ts
@@ -1,4 +1,4 @@
-/** The ledger of one step: winners of its samples and the trainer's cursor. */
+/** Ledger of one step: the winners of its samples and the trainer's cursor. */
 
 import type {EndpointId, StepId, TenantId} from '@radishyoke/shared/ids';
 import type {
@@ -7,7 +7,7 @@
 } from '@radishyoke/shared/log_record';
 import type {StepRequest} from '@radishyoke/shared/rollout';
 
-/** An attempt that an owner started, as the log tells it. */
+/** An attempt that an owner started, as recorded in the log. */
 export interface StartedAttempt {
   readonly group: number;
   readonly sample: number;
@@ -19,7 +19,7 @@
 
 export type CloseReason = 'complete' | 'cancelled' | 'timed_out';
 
-/** What stays the same for a step's life. */
+/** The part of a step that never changes after it was opened. */
 export interface StepOpening {
   readonly tenant: TenantId;
   readonly step: StepId;
@@ -31,7 +31,7 @@
   readonly openedAtMs: number;
 }
 
-/** A step with everything the log says of it, as plain data. */
+/** The complete state of a step from the log, as plain data. */
 export interface StepSnapshot {
   readonly opening: StepOpening;
   readonly committed: readonly CommittedSample[];
@@ -43,10 +43,10 @@
   readonly closedAtMs: number;
 }
 
-/** Attempts remembered of each sample: a first one, its hedge and a retry. */
+/** Attempts kept for each sample: the first one, its hedge and a retry. */
 const ATTEMPTS_KEPT_PER_SAMPLE = 3;
 
-/** Names a step across tenants, as in `tenant/step`. */
+/** Returns the key of a step across tenants, `tenant/step`. */
 export function buildStepKey(tenant: TenantId, step: StepId): string {
   return `${tenant}/${step}`;
 }
@@ -56,8 +56,8 @@
 }
 
 /**
- * Folds the records of one step. Fencing is checked by the caller; this class
- * keeps one winner a sample and hands out cursors in the log's order.
+ * Folds the records of one step. The caller checks fencing numbers; this class
+ * keeps one winner per sample and assigns cursors in log order.
  */
 export class StepLedger {
   readonly opening: StepOpening;
@@ -75,17 +75,17 @@
     if (snapshot !== undefined) this.restore(snapshot);
   }
 
-  /** Name of the step across tenants. */
+  /** Key of the step across tenants. */
   get key(): string {
     return buildStepKey(this.opening.tenant, this.opening.step);
   }
 
-  /** Last cursor that the trainer has taken. */
+  /** Last cursor that the trainer has acknowledged. */
   get acknowledged(): number {
     return this.acknowledgedCursor;
   }
 
-  /** The trainer's weight version, as last told. */
+  /** Highest weight version that the trainer has reported. */
   get trainerVersion(): number {
     return this.latestTrainerVersion;
   }
@@ -98,17 +98,17 @@
     return this.endedAtMs;
   }
 
-  /** Highest cursor given out; 0 for none. */
+  /** Highest cursor assigned; 0 for none. */
   get lastCursor(): number {
     return this.nextCursor - 1;
   }
 
-  /** Samples that the step asks for. */
+  /** Number of samples that the step requests. */
   get sampleCount(): number {
     return this.opening.req.groups.reduce((sum, g) => sum + g.samples, 0);
   }
 
-  /** Winners, in the order of their cursors. */
+  /** Winners in cursor order. */
   listCommitted(): readonly CommittedSample[] {
     return [...this.winners.values()].sort((a, b) => a.cursor - b.cursor);
   }
@@ -121,7 +121,7 @@
     return this.winners.size;
   }
 
-  /** Attempts that owners started for a sample, latest last. */
+  /** Attempts that owners started for a sample, in order of their numbers. */
   listAttempts(group: number, sample: number): readonly StartedAttempt[] {
     return this.started.get(buildSampleKey(group, sample)) ?? [];
   }
@@ -131,14 +131,15 @@
     return this.listAttempts(group, sample).at(-1)?.attempt ?? 0;
   }
 
-  /** Commits those of `samples` that have no winner yet and returns them. */
+  /** Commits the samples that have no winner yet and returns them. */
   commit(samples: readonly SampleCommit[]): readonly CommittedSample[] {
     const accepted: CommittedSample[] = [];
     for (const sample of samples) {
       const key = buildSampleKey(sample.group, sample.sample);
-      // Two attempts of one sample end at once, or a new owner commits what the
-      // old one had committed unseen: the trainer would get the sample twice.
-      // The log's order decides, the same for every reader.
+      // Two attempts of a sample may finish at the same time, or a new owner
+      // may commit a sample without having seen the old owner's commit. The
+      // first commit in log order wins, for every reader alike, so that the
+      // trainer never receives a sample twice.
       if (this.winners.has(key)) continue;
       if (!this.hasSample(sample.group, sample.sample)) continue;
       const winner = {...sample, cursor: this.nextCursor++};
@@ -149,8 +150,9 @@
   }
 
   /**
-   * Takes back winners by cursor; returns whether any was. One that the trainer
-   * has acknowledged stays, because running it again would double it.
+   * Voids winners by cursor; returns whether there was any. Winners that the
+   * trainer has acknowledged stay, because it would receive a rerun as a
+   * duplicate.
    */
   voidCursors(cursors: readonly number[]): boolean {
     const voidable = new Set(cursors.filter(c => c > this.acknowledgedCursor));
@@ -163,7 +165,7 @@
     return changed;
   }
 
-  /** Notes attempts that the owner under `fencing` started. */
+  /** Records attempts that the owner with number `fencing` started. */
   recordStarts(
     attempts: ReadonlyArray<Omit<StartedAttempt, 'fencing'>>,
     fencing: number,
@@ -173,7 +175,9 @@
     return valid.length > 0;
   }
 
-  /** Moves the trainer's cursor and version; both only ever rise. */
+  /**
+   * Raises the trainer's cursor and version, neither of which ever decreases.
+   */
   acknowledge(cursor: number, weightVersion: number): boolean {
     const next = Math.min(cursor, this.lastCursor);
     const moved =
--- a/packages/core/src/steps/step_machine.ts
+++ b/packages/core/src/steps/step_machine.ts
@@ -1,8 +1,8 @@
 /**
- * One step at its owner: which samples run, which output wins, what the trainer
- * is handed and when. Keeps two promises: a sample is handed over only after the
- * log holds its winner, and never when it is older than the staleness bound at
- * that moment. Pure: events in, actions out.
+ * State machine of one step at its owner: which samples run, which output wins
+ * and what is sent to the trainer when. It guarantees that a sample is sent
+ * only after the log contains its winner, and never if its weights are outside
+ * the staleness bound at that time. Pure: inputs in, outputs out.
  */
 
 import type {ErrorKind, RadishyokeError} from '@radishyoke/shared/error_kind';
@@ -33,25 +33,27 @@
   StepProgress,
 } from './step_message.js';
 
-/** Refusals that pass by themselves. */
+/** Errors that are transient: the sample runs again after a delay. */
 const transientKinds: ReadonlySet<ErrorKind> = new Set<ErrorKind>([
   'no_endpoint',
   'overloaded',
 ]);
-/** Pause before such a sample runs again, where the refusal names none, ms. */
+/** Delay before such a sample runs again if the error gives none, ms. */
 const defaultRetryDelayMs = 500;
-/** How long a new owner waits for an engine to give back a winner's text, ms. */
+/**
+ * How long a new owner tries to recover a winner's text from its engine, ms.
+ */
 const recoveryTimeoutMs = 5000;
-/** How long a finished step waits for the trainer's last acknowledgement, ms. */
+/** How long past its deadline a step awaits the last acknowledgement, ms. */
 const lastAckGraceMs = 60_000;
 
 export interface StepMachineOptions {
   readonly step: StepId;
   readonly req: StepRequest;
   readonly fencing: number;
-  /** When the step was opened, by any owner; its deadline counts from here. */
+  /** When the step was opened, by any owner; its deadline counts from then. */
   readonly openedAtMs: number;
-  /** When this owner took it. */
+  /** When this owner took the step over. */
   readonly ownedFromMs: number;
   readonly history?: StepHistory;
 }
@@ -81,7 +83,7 @@
     this.attempts = new Map(history?.attempts);
   }
 
-  /** Begins the step: what is not settled runs, what is, is recovered. */
+  /** Begins the step: runs samples without a winner and recovers the others. */
   begin(): readonly StepOutput[] {
     const out: StepOutput[] = [];
     for (const committed of this.options.history?.committed ?? []) {
@@ -145,7 +147,7 @@
     return out;
   }
 
-  /** Oldest version whose output the trainer still takes. */
+  /** Oldest weight version whose output the trainer still accepts. */
   get minWeightVersion(): number {
     return Math.max(0, this.weightVersion - this.options.req.maxStaleness);
   }
@@ -187,7 +189,7 @@
     });
   }
 
-  /** Tells the machine that an attempt began, so that numbers are never reused. */
+  /** Records a started attempt, so that its number is never reused. */
   recordAttempt(ref: SampleRef, attempt: number): void {
     const key = formatSampleKey(ref);
     const highest = this.attempts.get(key) ?? 0;
@@ -218,8 +220,9 @@
   }
 
   /**
-   * A full queue or a group without endpoints passes; ending the sample for it
-   * would show as a step that is short although its deadline is far off.
+   * Settles the sample with its error, unless the error is transient, such as a
+   * full queue or a group without endpoints. Settling it then would leave the
+   * step short of samples long before its deadline.
    */
   private fail(
     ref: SampleRef,
@@ -306,9 +309,9 @@
     if (!this.attached) return;
     for (const {ref, state, cursor} of this.delivery.listDeliverable()) {
       if (state.output && this.isStale(state.output.spans)) {
-        // The trainer moved on while this output waited for the log or for a
-        // connection. Handing it over would break the staleness bound; the
-        // winner is taken back and the sample runs again.
+        // The trainer's version advanced while this output waited for the log
+        // or a connection. Sending it would exceed the staleness bound, so the
+        // winner is voided and the sample runs again.
         out.push({kind: 'void', cursors: [cursor]});
         this.run(ref, out);
         continue;
@@ -368,9 +371,9 @@
   }
 
   private rerunLost(out: StepOutput[]): void {
-    // The earlier owner may have handed this cursor over just before it died.
-    // Running the sample again before the trainer has said how far it read
-    // would show as a rollout received twice, so nothing runs until it has.
+    // The earlier owner may have sent this cursor just before it crashed. The
+    // trainer could receive a rollout twice if the sample ran again before the
+    // trainer has reported how far it read.
     if (!this.attached) return;
     for (const {state} of this.states.list()) {
       if (state.kind !== 'recovering' || !state.lost) continue;
--- a/packages/core/src/steps/step_message.ts
+++ b/packages/core/src/steps/step_message.ts
@@ -1,4 +1,4 @@
-/** What a step's owner tells its state machine, and what that answers. */
+/** Inputs and outputs of the state machine of a step. */
 
 import type {RadishyokeError} from '@radishyoke/shared/error_kind';
 import type {EndpointId} from '@radishyoke/shared/ids';
@@ -8,13 +8,13 @@
 } from '@radishyoke/shared/log_record';
 import type {StepEvent, TokenSpan} from '@radishyoke/shared/rollout';
 
-/** Which sample of the step, both from 0. */
+/** Identifies a sample of the step; both indices start at 0. */
 export interface SampleRef {
   readonly group: number;
   readonly sample: number;
 }
 
-/** The output of the attempt that won. */
+/** Output of the winning attempt. */
 export interface SampleOutput extends SampleRef {
   readonly attempt: number;
   readonly endpoint: EndpointId;
@@ -26,14 +26,19 @@
 export type StepInput =
   | {readonly kind: 'finished'; readonly output: SampleOutput}
   | ({readonly kind: 'failed'; readonly error: RadishyokeError} & SampleRef)
-  /** The partial output of a running sample is already over the bound. */
+  /**
+   * The partial output of a running sample already exceeds the staleness bound.
+   */
   | ({readonly kind: 'outdated'} & SampleRef)
-  /** The log holds these winners and no newer owner existed before them. */
+  /**
+   * The log contains these winners, at a position before any newer owner's
+   * claim.
+   */
   | {
       readonly kind: 'committed';
       readonly samples: readonly CommittedSample[];
     }
-  /** The log did not take these; they are committed again. */
+  /** The log did not accept these commits; they are repeated. */
   | {readonly kind: 'commit_failed'; readonly samples: readonly SampleRef[]}
   | {
       readonly kind: 'attached';
@@ -46,7 +51,9 @@
       readonly cursor: number;
       readonly weightVersion: number;
     }
-  /** The text of an earlier owner's winner was had from its engine, or not. */
+  /**
+   * Result of recovering the text of an earlier owner's winner from its engine.
+   */
   | {
       readonly kind: 'recovered';
       readonly cursor: number;
@@ -58,7 +65,7 @@
 export type StepOutput =
   | ({
       readonly kind: 'run';
-      /** Number of the first attempt; later ones count on. */
+      /** Number of the first attempt; later attempts count up from it. */
       readonly firstAttempt: number;
       readonly minWeightVersion: number;
     } & SampleRef)
@@ -78,14 +85,14 @@
       readonly reason: 'complete' | 'cancelled' | 'timed_out';
     };
 
-/** What the log already holds of the step when this owner takes it. */
+/** State of the step in the log when this owner takes it over. */
 export interface StepHistory {
   readonly committed: readonly CommittedSample[];
   readonly acknowledgedCursor: number;
-  /** Highest cursor ever committed, voided ones included. */
+  /** Highest cursor ever committed, including voided ones. */
   readonly highestCursor: number;
   readonly weightVersion: number;
-  /** Attempts begun so far, by sample, for numbering. */
+  /** Highest attempt number so far, by sample key. */
   readonly attempts: ReadonlyMap<string, number>;
 }
 
@@ -97,7 +104,7 @@
   readonly attached: boolean;
 }
 
-/** Names a sample within its step. */
+/** Returns the key of a sample within its step. */
 export function formatSampleKey(ref: SampleRef): string {
   return `${ref.group}/${ref.sample}`;
 }
--- a/packages/core/src/steps/weight_rollout.ts
+++ b/packages/core/src/steps/weight_rollout.ts
@@ -1,45 +1,45 @@
 /**
- * Brings a model's newest weights to its engines: in waves that leave capacity,
- * no faster than the store hands weights out, with failed swaps tried again.
+ * Rolls out a model's newest weights to its engines in waves that leave
+ * capacity, no faster than the weight store allows, and retries failed swaps.
  *
- * What an engine runs is what it reports, never what it was ordered. An order
- * can be lost, refused, or fail after it was taken; each shows as a report that
- * stays behind, and the engine is ordered again.
+ * Only an engine's report shows which version it runs, not the order sent to
+ * it. An order can be lost, refused, or fail after it was accepted. In each
+ * case the reported version stays behind and the engine is ordered again.
  */
 
 import type {EndpointId} from '@radishyoke/shared/ids';
 import {TokenBucket} from '../scheduling/token_bucket.js';
 
-/** One engine as its latest report shows it. */
+/** An engine according to its latest report. */
 export interface ReportedEngine {
   readonly id: EndpointId;
   readonly weightVersion: number;
 }
 
-/** An order to be sent. */
+/** An order to load a weight version. */
 export interface LoadOrder {
   readonly engine: EndpointId;
   readonly version: number;
   readonly fencing: number;
 }
 
-/** What became of sending an order. */
+/** Result of sending an order. */
 export type OrderOutcome =
   | 'begun'
-  /** The engine knows a higher fencing number: this holder is no longer it. */
+  /** The engine knows a higher fencing number, so this holder is superseded. */
   | 'stale_fencing'
   | 'failed'
-  /** No answer: the engine may have taken it or not. */
+  /** No answer: the engine may or may not have accepted the order. */
   | 'unknown';
 
 export interface WeightRolloutOptions {
-  /** Fetches a second that the store allows; each order causes one. */
+  /** Fetches per second that the store allows; each order causes one. */
   readonly fetchesPerSecond: number;
-  /** Part of the engines that may load at once. */
+  /** Share of the engines that may load at the same time. */
   readonly waveShare: number;
-  /** Time that an engine has to fetch and swap before it counts as failed. */
+  /** Time to fetch and swap weights before the order counts as failed. */
   readonly swapTimeoutMs: number;
-  /** The same for an order that nobody answered. */
+  /** The same for an order without an answer. */
   readonly unansweredTimeoutMs: number;
   readonly firstRetryMs: number;
   readonly maxRetryMs: number;
@@ -55,7 +55,7 @@
 };
 
 interface EngineOrders {
-  /** The order under way; absent when none is. */
+  /** The order in progress, if any. */
   pending?: {
     readonly version: number;
     readonly sentAtMs: number;
@@ -65,7 +65,9 @@
   retryAtMs: number;
 }
 
-/** Orders of one model under one fencing number; a new holder makes a new one. */
+/**
+ * Orders for one model under one fencing number; each holder creates its own.
+ */
 export class WeightRollout {
   private readonly engines = new Map<EndpointId, EngineOrders>();
   private readonly fetchBucket: TokenBucket;
@@ -82,20 +84,20 @@
     );
   }
 
-  /** Whether an engine told that a newer holder gives orders. */
+  /** Whether an engine reported that a newer holder sends orders. */
   get isSuperseded(): boolean {
     return this.superseded;
   }
 
-  /** The orders to be sent now. Called whenever reports or versions are new. */
+  /** Returns the orders to send now; called on new reports and versions. */
   plan(
     reported: readonly ReportedEngine[],
     newestVersion: number,
     nowMs: number,
   ): readonly LoadOrder[] {
-    // A holder whose lease lapsed while it was paused still believes it holds
-    // it. Engines that check fencing numbers tell it so; to those that don't it
-    // must not send on.
+    // A holder whose lease expired during a pause does not know it. Engines
+    // that check fencing numbers report it; after that it must also send no
+    // orders to engines that do not check them.
     if (this.superseded) return [];
     for (const engine of reported) this.applyReport(engine, nowMs);
     let room = this.countOrderRoom(reported);
@@ -122,15 +124,16 @@
     const {pending} = engine;
     if (pending?.version !== order.version) return;
     if (outcome === 'failed') this.scheduleRetry(engine, nowMs);
-    // After no answer the report tells, and until then the engine counts as
-    // loading. An order on a connection that went silent never arrived, and a
-    // long wait for it keeps all others from the new weights. Ordering the same
-    // version again is harmless.
+    // Without an answer only the next report shows the result, and until then
+    // the engine counts as loading. On a silent connection the order never
+    // arrived, and a long wait would keep the other engines from the new
+    // weights, so the timeout is shorter. Ordering the same version again is
+    // harmless.
     if (outcome !== 'unknown') return;
     engine.pending = {...pending, timeoutMs: this.options.unansweredTimeoutMs};
   }
 
-  /** Sees what a report tells of the order under way. */
+  /** Completes or fails the order in progress according to a report. */
   private applyReport(
     {id, weightVersion}: ReportedEngine,
     nowMs: number,
@@ -178,7 +181,7 @@
   }
 }
 
-/** Those furthest behind first: they hold staleness up. */
+/** Sorts the engines furthest behind first, as they add most to staleness. */
 function sortBehindFirst(
   reported: readonly ReportedEngine[],
 ): readonly ReportedEngine[] {
