--- a/packages/bench/src/__tests__/outage_takeover.spec.ts
+++ b/packages/bench/src/__tests__/outage_takeover.spec.ts
@@ -1,6 +1,6 @@
 import {DEFAULT_CLAIM_HORIZON_MS} from '@radishyoke/core/ledger/state_fold';
 import {LogTask} from '@radishyoke/daemon/log/log_task';
-import {DEFAULT_SESSION_TIMING} from '@radishyoke/daemon/log/session_keeper';
+import {DEFAULT_SESSION_TIMING} from '@radishyoke/daemon/log/session_tracker';
 import {LogModel} from '@radishyoke/fakes/log_model';
 import {toEndpointId, toIncarnationId, toVmId} from '@radishyoke/shared/ids';
 import FakeTimers from '@sinonjs/fake-timers';
--- a/packages/cli/src/main.ts
+++ b/packages/cli/src/main.ts
@@ -1,10 +1,10 @@
 #!/usr/bin/env node
 /** The `radishyoke` command. */
 
-import {holdSignals} from '@radishyoke/daemon/process_signals';
+import {captureSignals} from '@radishyoke/daemon/process_signals';
 
 // Only a VM drains; any other command is interrupted as usual.
-if (process.argv[2] === 'serve') holdSignals();
+if (process.argv[2] === 'serve') captureSignals();
 const {runCli} = await import('./cli.js');
 const {createProcessIo} = await import('./cli_io.js');
 
--- a/packages/daemon/src/apps/app_api.ts
+++ b/packages/daemon/src/apps/app_api.ts
@@ -26,7 +26,7 @@
 import type {Dispatcher} from '../scheduling/dispatcher.js';
 import type {LogTask} from '../log/log_task.js';
 import type {Logger} from '../logger.js';
-import type {Route, RuleBook} from '../rule_book.js';
+import type {Route, RuleRegistry} from '../rule_registry.js';
 
 /** Methods that may be repeated (RFC 9110, section 9.2.2). */
 const idempotentMethods: ReadonlySet<string> = new Set([
@@ -57,7 +57,7 @@
 
 export interface AppApiOptions {
   readonly dataCentre: DataCentreId;
-  readonly rules: RuleBook;
+  readonly rules: RuleRegistry;
   readonly dispatcher: Dispatcher;
   readonly http: HttpDispatcher;
   readonly log: LogTask;
--- a/packages/daemon/src/audit/__tests__/audit_task.spec.ts
+++ b/packages/daemon/src/audit/__tests__/audit_task.spec.ts
@@ -15,7 +15,7 @@
 import test, {type ExecutionContext} from 'ava';
 import {AuditTask} from '../audit_task.js';
 import {LogTask} from '../../log/log_task.js';
-import {DEFAULT_SESSION_TIMING} from '../../log/session_keeper.js';
+import {DEFAULT_SESSION_TIMING} from '../../log/session_tracker.js';
 
 function startTasks(t: ExecutionContext, fake: FakeLog, vm: string) {
   const client = new HttpLogClient(fake.address);
--- a/packages/daemon/src/callers/caller.ts
+++ b/packages/daemon/src/callers/caller.ts
@@ -8,7 +8,7 @@
 import type {DataCentreId, TeamId, TenantId} from '@radishyoke/shared/ids';
 import {toTenantId} from '@radishyoke/shared/ids';
 import {fail, Result, succeed} from '@radishyoke/shared/result';
-import type {Route, RuleBook} from '../rule_book.js';
+import type {Route, RuleRegistry} from '../rule_registry.js';
 
 /** Who calls. */
 export interface Caller {
@@ -28,7 +28,7 @@
 /** Finds the tenant and its team. */
 export function identifyCaller(
   req: IncomingMessage,
-  rules: RuleBook,
+  rules: RuleRegistry,
 ): Result<Caller> {
   const name = readSingleHeader(req, HEADERS.tenant);
   if (!name) {
--- a/packages/daemon/src/log/__tests__/log_task.spec.ts
+++ b/packages/daemon/src/log/__tests__/log_task.spec.ts
@@ -9,7 +9,7 @@
   toVmId,
 } from '@radishyoke/shared/ids';
 import test, {type ExecutionContext} from 'ava';
-import {DEFAULT_SESSION_TIMING} from '../session_keeper.js';
+import {DEFAULT_SESSION_TIMING} from '../session_tracker.js';
 import {LogTask} from '../log_task.js';
 
 const LOG_RETENTION_MS = 3_600_000;
@@ -47,7 +47,7 @@
 }
 
 /** A retention so short that a checkpoint is due at each tick. */
-const CHECKPOINT_AT_ONCE_MS = 0;
+const IMMEDIATE_CHECKPOINT_RETENTION_MS = 0;
 
 /** Waits until `done` holds after some change that `task` reports. */
 async function waitFor(task: LogTask, done: () => boolean): Promise<void> {
@@ -83,7 +83,7 @@
   const won = claims.find(claim => claim.ok);
   const held = {lease: 'step:x/1', fencing: won?.ok ? won.value : -1};
   t.true(winner.holds(held));
-  await winner.leave();
+  await winner.closeSession();
   const next = await loser.claim('step:x/1');
   t.true(next.ok && next.value > held.fencing);
   t.false(loser.holds(held));
@@ -135,7 +135,12 @@
   await a.publish(publication);
   await a.append(REQUEST_CLAIM);
   const dropBelow = {state: a.state.next, config: a.config.next};
-  const checkpointer = startTask(t, log, 'b', CHECKPOINT_AT_ONCE_MS);
+  const checkpointer = startTask(
+    t,
+    log,
+    'b',
+    IMMEDIATE_CHECKPOINT_RETENTION_MS,
+  );
   await waitFor(
     checkpointer,
     () => a.state.next > dropBelow.state && a.config.next > dropBelow.config,
--- a/packages/daemon/src/log/event_source.ts
+++ b/packages/daemon/src/log/event_source.ts
@@ -2,7 +2,7 @@
 
 import {type Scheduler, type Sink, Stream} from 'most';
 
-interface Reader<T> {
+interface Observer<T> {
   readonly sink: Sink<T>;
   readonly scheduler: Scheduler;
 }
@@ -10,16 +10,16 @@
 /** Events reach every observer of `stream` in the turn in which they are emitted. */
 export class EventSource<T> {
   readonly stream: Stream<T>;
-  private readonly readers = new Set<Reader<T>>();
+  private readonly observers = new Set<Observer<T>>();
 
   constructor() {
     this.stream = new Stream<T>({
       run: (sink, scheduler) => {
-        const reader = {sink, scheduler};
-        this.readers.add(reader);
+        const observer = {sink, scheduler};
+        this.observers.add(observer);
         return {
           dispose: () => {
-            this.readers.delete(reader);
+            this.observers.delete(observer);
           },
         };
       },
@@ -27,16 +27,16 @@
   }
 
   emit(event: T): void {
-    for (const {sink, scheduler} of [...this.readers]) {
+    for (const {sink, scheduler} of [...this.observers]) {
       sink.event(scheduler.now(), event);
     }
   }
 
   /** Ends the stream for all observers. */
   end(): void {
-    for (const {sink, scheduler} of [...this.readers]) {
+    for (const {sink, scheduler} of [...this.observers]) {
       sink.end(scheduler.now());
     }
-    this.readers.clear();
+    this.observers.clear();
   }
 }
--- a/packages/daemon/src/log/lease_holder.ts
+++ b/packages/daemon/src/log/lease_holder.ts
@@ -8,7 +8,7 @@
 import type {IncarnationId, VmId} from '@radishyoke/shared/ids';
 import type {StateRecord} from '@radishyoke/shared/log_record';
 import {fail, type Result, succeed} from '@radishyoke/shared/result';
-import {SessionKeeper, type SessionTiming} from './session_keeper.js';
+import {SessionTracker, type SessionTiming} from './session_tracker.js';
 
 /** A lease that this VM holds. */
 export interface HeldLease {
@@ -28,14 +28,14 @@
 
 /** One instance a VM. */
 export class LeaseHolder {
-  private readonly session: SessionKeeper;
+  private readonly session: SessionTracker;
   /** Leases that are claimed or about to be, though not read back yet. */
-  private readonly wanted = new Set<string>();
-  private renewing = false;
-  private leaving = false;
+  private readonly requestedLeases = new Set<string>();
+  private isRenewing = false;
+  private isClosing = false;
 
   constructor(private readonly options: LeaseHolderOptions) {
-    this.session = new SessionKeeper(options.timing);
+    this.session = new SessionTracker(options.timing);
   }
 
   /**
@@ -43,19 +43,19 @@
    * another live session holds it.
    */
   async claim(lease: string): Promise<Result<number>> {
-    if (this.leaving) return fail(createError('draining'));
-    this.wanted.add(lease);
+    if (this.isClosing) return fail(createError('draining'));
+    this.requestedLeases.add(lease);
     if (!this.session.isValid(performance.now())) void this.renewSession();
     const result = await this.options.append({kind: 'lease_claimed', lease});
     if (!result.ok) {
-      this.wanted.delete(lease);
+      this.requestedLeases.delete(lease);
       return result;
     }
     const {verdict} = result.value;
     if (verdict.kind === 'accepted' && verdict.fencing !== undefined) {
       return succeed(verdict.fencing);
     }
-    this.wanted.delete(lease);
+    this.requestedLeases.delete(lease);
     const holder = this.options.getFold().leases.find(lease)?.vm;
     const detail = holder ? `${holder} holds ${lease}` : `${lease} is not held`;
     return fail(createError('not_owner', detail));
@@ -63,7 +63,7 @@
 
   /** Gives a lease back. */
   async release(held: HeldLease): Promise<void> {
-    this.wanted.delete(held.lease);
+    this.requestedLeases.delete(held.lease);
     await this.options.append({kind: 'lease_released', ...held});
   }
 
@@ -81,32 +81,33 @@
   }
 
   /** Gives back all leases at once, so that others need not wait for a lapse. */
-  async leave(): Promise<void> {
+  async closeSession(): Promise<void> {
     // A renewal that follows the closing would open the session again, and the
     // leases would look held until it lapses.
-    this.leaving = true;
-    this.wanted.clear();
+    this.isClosing = true;
+    this.requestedLeases.clear();
     await this.options.append({kind: 'session_closed'});
   }
 
   /** Renews the session when that is due and the VM owns something. */
   tick(): void {
-    const own = buildWriterKey(this.options);
-    const owns =
-      this.wanted.size > 0 ||
-      this.options.getFold().leases.listClaimedBy(own).length > 0;
-    if (owns && this.session.isDue(performance.now())) void this.renewSession();
+    const ownKey = buildWriterKey(this.options);
+    const needsSession =
+      this.requestedLeases.size > 0 ||
+      this.options.getFold().leases.listClaimedBy(ownKey).length > 0;
+    if (needsSession && this.session.isDue(performance.now()))
+      void this.renewSession();
   }
 
   /** One renewal at a time: more would only fill the buffer in an outage. */
   private async renewSession(): Promise<void> {
-    if (this.renewing || this.leaving) return;
-    this.renewing = true;
-    const askedAtMs = performance.now();
-    this.session.ask(askedAtMs);
+    if (this.isRenewing || this.isClosing) return;
+    this.isRenewing = true;
+    const requestedAtMs = performance.now();
+    this.session.markRequested(requestedAtMs);
     const {ttlMs} = this.options.timing;
     const result = await this.options.append({kind: 'session', ttlMs});
-    this.renewing = false;
-    if (result.ok) this.session.confirm(askedAtMs);
+    this.isRenewing = false;
+    if (result.ok) this.session.markConfirmed(requestedAtMs);
   }
 }
--- a/packages/daemon/src/log/log_task.ts
+++ b/packages/daemon/src/log/log_task.ts
@@ -43,7 +43,7 @@
 import type {Stream} from 'most';
 import {EventSource} from './event_source.js';
 import {type HeldLease, LeaseHolder} from './lease_holder.js';
-import type {SessionTiming} from './session_keeper.js';
+import type {SessionTiming} from './session_tracker.js';
 import {FoldPort, StreamFollower} from './stream_follower.js';
 
 export type StateBody = Unstamped<StateRecord>;
@@ -93,14 +93,14 @@
 /** What this VM hears of the others, for judging its own configuration. */
 export interface PeerView {
   /** Live VMs by the VM list, this one left out. */
-  readonly otherVms: number;
-  readonly heardVms: readonly VmId[];
+  readonly otherVmCount: number;
+  readonly livePeers: readonly VmId[];
   /** Greatest `config` offset that any VM told of. */
-  readonly seenNext: number;
+  readonly highestConfigNext: number;
 }
 
 /** How often due renewals are looked for. */
-const TICK_MS = 250;
+const TICK_INTERVAL_MS = 250;
 
 type StateWriter = LogWriter<StateRecord, JudgedRecord<StateRecord>>;
 type ConfigWriter = LogWriter<ConfigRecord, ConfigOutcome>;
@@ -113,11 +113,11 @@
   private readonly configWriter: ConfigWriter;
   private readonly stateFollower: StreamFollower<StateRecord>;
   private readonly configFollower: StreamFollower<ConfigRecord>;
-  private readonly source = new EventSource<LogChange>();
+  private readonly changeSource = new EventSource<LogChange>();
   private readonly leaseHolder: LeaseHolder;
-  private readonly currency: ConfigFreshnessTracker;
+  private readonly configFreshness: ConfigFreshnessTracker;
   private readonly jitter = Math.random();
-  private checkpointing = false;
+  private isCheckpointing = false;
   private stateFold: StateFold;
   private configHistory: ConfigHistory;
   private timer: NodeJS.Timeout | undefined;
@@ -134,13 +134,16 @@
       getFold: () => this.stateFold,
       append: body => this.append(body),
     });
-    const trustMs =
+    const validityMs =
       cfg.notReadyAfterMs ?? DEFAULT_CONFIG_FRESHNESS_TIMING.logDownMs;
-    this.currency = new ConfigFreshnessTracker(
+    this.configFreshness = new ConfigFreshnessTracker(
       {
         ...DEFAULT_CONFIG_FRESHNESS_TIMING,
-        logDownMs: trustMs,
-        cutOffMs: Math.min(trustMs, DEFAULT_CONFIG_FRESHNESS_TIMING.cutOffMs),
+        logDownMs: validityMs,
+        cutOffMs: Math.min(
+          validityMs,
+          DEFAULT_CONFIG_FRESHNESS_TIMING.cutOffMs,
+        ),
       },
       performance.now(),
     );
@@ -158,7 +161,7 @@
       stream: 'config',
     });
     const onHealth = () =>
-      this.source.emit({kind: 'health', health: this.health()});
+      this.changeSource.emit({kind: 'health', health: this.health()});
     this.stateFollower = new StreamFollower<StateRecord>(
       client,
       'state',
@@ -187,13 +190,13 @@
 
   /** Folded changes, in the order of the log. */
   get changes(): Stream<LogChange> {
-    return this.source.stream;
+    return this.changeSource.stream;
   }
 
   start(): void {
     this.stateFollower.start();
     this.configFollower.start();
-    this.timer = setInterval(() => this.tick(), TICK_MS);
+    this.timer = setInterval(() => this.tick(), TICK_INTERVAL_MS);
   }
 
   /** Stops at once; leases lapse by themselves. Call `leave` before to end well. */
@@ -203,12 +206,12 @@
     this.configFollower.stop();
     this.stateWriter.close();
     this.configWriter.close();
-    this.source.end();
+    this.changeSource.end();
   }
 
   /** Gives back all leases at once, so that others need not wait for a lapse. */
-  leave(): Promise<void> {
-    return this.leaseHolder.leave();
+  closeSession(): Promise<void> {
+    return this.leaseHolder.closeSession();
   }
 
   /** Live VMs share the deployment's budget of appends evenly. */
@@ -269,16 +272,19 @@
 
   /** Takes `config` records from another VM; returns whether they were news. */
   importConfig(transfer: ConfigTransfer): boolean {
-    const before = this.configHistory.next;
+    const previousNext = this.configHistory.next;
     const applied = this.configHistory.importRecords(transfer);
-    if (this.configHistory.next === before) return false;
-    this.configFollower.catchUpWithFold();
-    this.currency.recordAdopted(this.configHistory.next, performance.now());
-    for (const judged of applied) this.announceConfig(judged);
+    if (this.configHistory.next === previousNext) return false;
+    this.configFollower.moveToFold();
+    this.configFreshness.recordAdopted(
+      this.configHistory.next,
+      performance.now(),
+    );
+    for (const judged of applied) this.emitConfig(judged);
     if (transfer.kind === 'snapshot') {
       const own = this.configHistory.highestSeqOf(buildWriterKey(this.cfg));
       this.configWriter.failThrough(own);
-      this.source.emit({kind: 'reset'});
+      this.changeSource.emit({kind: 'reset'});
     }
     return true;
   }
@@ -287,19 +293,23 @@
    * Whether `state` was read to its end since the start. Before that, a step
    * that is not found may well exist.
    */
-  get wasStateRead(): boolean {
-    return this.stateFollower.status().wasCaughtUp;
+  get hasReadState(): boolean {
+    return this.stateFollower.status().hasBeenCaughtUp;
   }
 
   /** Whether this VM can know that its configuration is the one in force. */
-  assessCurrency({otherVms, heardVms, seenNext}: PeerView): ConfigFreshness {
+  assessConfigFreshness({
+    otherVmCount,
+    livePeers,
+    highestConfigNext,
+  }: PeerView): ConfigFreshness {
     const nowMs = performance.now();
     const {caughtUp, next, lastReadMonotonicMs} = this.configFollower.status();
-    this.currency.recordFolded(next);
-    if (caughtUp) this.currency.recordRead(next, lastReadMonotonicMs);
-    for (const vm of heardVms)
-      this.currency.recordPeerNext(vm, seenNext, nowMs);
-    return this.currency.assess(otherVms, nowMs);
+    this.configFreshness.recordFolded(next);
+    if (caughtUp) this.configFreshness.recordRead(next, lastReadMonotonicMs);
+    for (const vm of livePeers)
+      this.configFreshness.recordPeerNext(vm, highestConfigNext, nowMs);
+    return this.configFreshness.assess(otherVmCount, nowMs);
   }
 
   health(): LogHealth {
@@ -325,7 +335,7 @@
       this.stateFold = new StateFold({claimHorizonMs}, snapshot);
       const own = this.stateFold.highestSeqOf(buildWriterKey(this.cfg));
       this.stateWriter.failThrough(own);
-      this.source.emit({kind: 'reset'});
+      this.changeSource.emit({kind: 'reset'});
     };
     return {
       isAwaited: () => this.stateWriter.pendingCount > 0,
@@ -364,18 +374,18 @@
     if (!(verdict.kind === 'void' && verdict.reason === 'copy')) {
       this.stateWriter.settle(record.value.stamp, judged);
     }
-    this.source.emit({kind: 'state', judged});
+    this.changeSource.emit({kind: 'state', judged});
   }
 
   private applyConfig(record: LoggedRecord<ConfigRecord>): void {
     const outcome = this.configHistory.apply(record);
-    this.announceConfig({record, outcome});
+    this.emitConfig({record, outcome});
   }
 
-  private announceConfig({record, outcome}: AppliedConfig): void {
+  private emitConfig({record, outcome}: AppliedConfig): void {
     if (outcome.kind === 'copy') return;
     this.configWriter.settle(record.value.stamp, outcome);
-    this.source.emit({kind: 'config', record, outcome});
+    this.changeSource.emit({kind: 'config', record, outcome});
   }
 
   private tick(): void {
@@ -384,8 +394,8 @@
   }
 
   private async writeDueCheckpoints(): Promise<void> {
-    if (this.checkpointing) return;
-    this.checkpointing = true;
+    if (this.isCheckpointing) return;
+    this.isCheckpointing = true;
     const timing = {
       retentionMs: this.cfg.logRetentionMs,
       jitter: this.jitter,
@@ -400,6 +410,6 @@
       const parts = splitCheckpoint(snapshot.next, snapshot);
       await Promise.all(parts.map(part => this.configWriter.append(part)));
     }
-    this.checkpointing = false;
+    this.isCheckpointing = false;
   }
 }
--- a/packages/daemon/src/log/session_keeper.ts
+++ b/packages/daemon/src/log/session_tracker.ts
@@ -13,7 +13,7 @@
 };
 
 /** Part of the ttl that a holder leaves for clocks that run at unlike rates. */
-const MARGIN_SHARE = 0.1;
+const CLOCK_RATE_MARGIN = 0.1;
 
 /**
  * Counts from the moment at which a renewal was handed to the writer, on the
@@ -21,25 +21,25 @@
  * at least as long by the log's clock as by this count. A VM that was paused or
  * cut off from the log sees here that others may hold its leases by now.
  */
-export class SessionKeeper {
+export class SessionTracker {
   private renewedAtMs = -Infinity;
-  private askedAtMs = -Infinity;
+  private requestedAtMs = -Infinity;
 
   constructor(readonly timing: SessionTiming) {}
 
   /** Whether a renewal is due. */
   isDue(monotonicMs: number): boolean {
-    return monotonicMs - this.askedAtMs >= this.timing.renewalMs;
+    return monotonicMs - this.requestedAtMs >= this.timing.renewalMs;
   }
 
   /** A renewal is being handed to the writer. */
-  ask(monotonicMs: number): void {
-    this.askedAtMs = monotonicMs;
+  markRequested(monotonicMs: number): void {
+    this.requestedAtMs = monotonicMs;
   }
 
   /** The renewal asked for at `askedAtMs` was read back. */
-  confirm(askedAtMs: number): void {
-    this.renewedAtMs = Math.max(this.renewedAtMs, askedAtMs);
+  markConfirmed(requestedAtMs: number): void {
+    this.renewedAtMs = Math.max(this.renewedAtMs, requestedAtMs);
   }
 
   /** Whether no other VM can hold this VM's leases yet. */
@@ -49,6 +49,6 @@
 
   /** On the monotonic clock. */
   validUntilMs(): number {
-    return this.renewedAtMs + this.timing.ttlMs * (1 - MARGIN_SHARE);
+    return this.renewedAtMs + this.timing.ttlMs * (1 - CLOCK_RATE_MARGIN);
   }
 }
--- a/packages/daemon/src/log/stream_follower.ts
+++ b/packages/daemon/src/log/stream_follower.ts
@@ -47,7 +47,7 @@
   /** Whether all records that the log had were read and folded. */
   readonly caughtUp: boolean;
   /** Whether that was ever so since the start of this VM. */
-  readonly wasCaughtUp: boolean;
+  readonly hasBeenCaughtUp: boolean;
   /** Whether the start of the state is missing and no checkpoint was found. */
   readonly seeking: boolean;
 }
@@ -58,7 +58,7 @@
   private assembler = new CheckpointAssembler();
   private seeking = false;
   private caughtUp = false;
-  private wasCaughtUp = false;
+  private hasBeenCaughtUp = false;
   private oldest = 0;
   private oldestTimeMs: number | undefined;
   private lastTimeMs = 0;
@@ -85,9 +85,9 @@
       {...LOG_READER_DEFAULTS, stream},
       {
         read: (records, caughtUp, oldest) =>
-          this.take(records, caughtUp, oldest),
-        expired: oldest => this.seekFrom(oldest),
-        failed: () => this.markFailed(),
+          this.applyRecords(records, caughtUp, oldest),
+        expired: oldest => this.seekCheckpoint(oldest),
+        failed: () => this.onReadFailure(),
         isAwaited: () => this.fold.isAwaited(),
       },
     );
@@ -107,7 +107,7 @@
   }
 
   /** The fold was moved on by other means: reads go on from where it is. */
-  catchUpWithFold(): void {
+  moveToFold(): void {
     this.seeking = false;
     this.reader.moveTo(this.fold.next());
   }
@@ -119,7 +119,7 @@
       lastReadMonotonicMs: this.lastReadMonotonicMs,
       failingSinceMs: this.failingSinceMs,
       caughtUp: this.caughtUp && !this.seeking,
-      wasCaughtUp: this.wasCaughtUp && !this.seeking,
+      hasBeenCaughtUp: this.hasBeenCaughtUp && !this.seeking,
       seeking: this.seeking,
     };
   }
@@ -132,7 +132,7 @@
    * `graceMs` after, in which holders renew.
    */
   estimateLogNowMs(): number {
-    const estimateMs = this.estimateMovingMs();
+    const estimateMs = this.estimateUnfrozenMs();
     const isInGrace = performance.now() < this.graceUntilMs;
     const isFrozen = this.failingSinceMs !== undefined || isInGrace;
     return isFrozen ? Math.min(estimateMs, this.frozenAtMs) : estimateMs;
@@ -154,41 +154,41 @@
     );
   }
 
-  private estimateMovingMs(): number {
+  private estimateUnfrozenMs(): number {
     return this.fold.nowMs() + Math.max(0, Date.now() - this.lastRecordAtMs);
   }
 
-  private take(
+  private applyRecords(
     records: ReadonlyArray<LoggedRecord<T>>,
     caughtUp: boolean,
     oldest: number,
   ): number | undefined {
     this.oldest = oldest;
     for (const record of records) {
-      this.noteTime(record);
-      const checkpoint = this.assemble(record);
+      this.recordTime(record);
+      const checkpoint = this.collectCheckpoint(record);
       if (!this.seeking) {
         if (record.offset === this.fold.next()) this.fold.apply(record);
         continue;
       }
       if (checkpoint !== undefined && checkpoint.asOf >= this.oldest) {
-        return this.load(checkpoint);
+        return this.restoreCheckpoint(checkpoint);
       }
     }
     this.caughtUp = caughtUp;
-    this.wasCaughtUp ||= caughtUp && !this.seeking;
-    this.markRead();
+    this.hasBeenCaughtUp ||= caughtUp && !this.seeking;
+    this.onReadSuccess();
     return this.seeking && caughtUp ? this.tryStartEmpty() : undefined;
   }
 
-  private noteTime(record: LoggedRecord<T>): void {
+  private recordTime(record: LoggedRecord<T>): void {
     this.lastRecordAtMs = Date.now();
     this.lastTimeMs = record.timeMs;
     this.checkpointTimeMs ??= record.timeMs;
     this.oldestTimeMs ??= record.timeMs;
   }
 
-  private assemble(record: LoggedRecord<T>): Checkpoint | undefined {
+  private collectCheckpoint(record: LoggedRecord<T>): Checkpoint | undefined {
     const value = record.value as {readonly kind?: string};
     if (value.kind !== 'checkpoint_part') return undefined;
     const part = record as unknown as LoggedRecord<CheckpointPart>;
@@ -205,17 +205,17 @@
    * two owners of a step. So it folds nothing before it has a snapshot whose
    * later records are all still there.
    */
-  private seekFrom(oldest: number): number {
+  private seekCheckpoint(oldest: number): number {
     this.seeking = true;
     this.caughtUp = false;
     this.oldest = oldest;
     this.oldestTimeMs = undefined;
     this.assembler = new CheckpointAssembler();
-    this.markRead();
+    this.onReadSuccess();
     return oldest;
   }
 
-  private load(checkpoint: Checkpoint): number {
+  private restoreCheckpoint(checkpoint: Checkpoint): number {
     this.fold.restore(JSON.parse(checkpoint.text));
     this.seeking = false;
     return this.fold.next();
@@ -229,7 +229,7 @@
     return this.oldest;
   }
 
-  private markRead(): void {
+  private onReadSuccess(): void {
     this.lastReadAtMs = Date.now();
     this.lastReadMonotonicMs = performance.now();
     if (this.failingSinceMs === undefined) return;
@@ -238,7 +238,7 @@
     this.onHealth();
   }
 
-  private markFailed(): void {
+  private onReadFailure(): void {
     if (this.failingSinceMs !== undefined) return;
     this.frozenAtMs = this.estimateLogNowMs();
     this.failingSinceMs = Date.now();
--- a/packages/daemon/src/peers/__tests__/peer_task.spec.ts
+++ b/packages/daemon/src/peers/__tests__/peer_task.spec.ts
@@ -81,9 +81,9 @@
   await Promise.all(all.map(({until}) => until(countsVms(3))));
 
   const endpoint = toEndpointId('worker');
-  first.task.tell({kind: 'own_load', inFlight: new Map([[endpoint, 4]])});
-  first.task.tell({kind: 'own_suspects', fingerprints: ['f']});
-  first.task.tell({kind: 'config_offset', next: 1});
+  first.task.publish({kind: 'own_load', inFlight: new Map([[endpoint, 4]])});
+  first.task.publish({kind: 'own_suspects', fingerprints: ['f']});
+  first.task.publish({kind: 'config_offset', next: 1});
   for (const {until, events} of others) {
     await until(e => e.kind === 'peer_load' && e.inFlight.get(endpoint) === 4);
     await until(e => e.kind === 'suspects' && e.fingerprints[0] === 'f');
@@ -93,7 +93,7 @@
     t.deepEqual(passed, {kind: 'config_transfer', transfer});
   }
 
-  first.task.tell({kind: 'leave'});
+  first.task.publish({kind: 'leave'});
   const without = (e: PeerEvent) =>
     e.kind === 'vms' && !e.vms.includes(toVmId('vm-0'));
   await Promise.all(others.map(({until}) => until(without)));
@@ -107,7 +107,7 @@
   const first = await createTask(0);
   const second = await createTask(1, {seeds: [first.address]});
   await first.until(countsVms(2));
-  second.task.tell({
+  second.task.publish({
     kind: 'own_load',
     inFlight: new Map([[toEndpointId('worker'), 4]]),
   });
--- a/packages/daemon/src/peers/__tests__/peer_wiring.spec.ts
+++ b/packages/daemon/src/peers/__tests__/peer_wiring.spec.ts
@@ -11,7 +11,7 @@
   const source = {observe: () => undefined};
   const options = {
     vm: toVmId('a'),
-    peers: {tell: () => undefined, events: source},
+    peers: {publish: () => undefined, events: source},
     log: {
       changes: {
         observe: (observer: (change: unknown) => void) =>
--- a/packages/daemon/src/peers/peer_links.ts
+++ b/packages/daemon/src/peers/peer_links.ts
@@ -16,19 +16,19 @@
 }
 
 /** Messages that wait for a connection to open; the oldest go first. */
-const MAX_WAITING = 32;
+const MAX_WAITING_MESSAGES = 32;
 
-interface Opening {
+interface OpeningLink {
   readonly link: PeerLink;
   readonly waiting: GossipMessage[];
 }
 
 export class PeerLinks implements PeerLinkHandler {
   /** The newest open connection to each VM, whichever side opened it. */
-  private readonly open = new Map<VmId, PeerLink>();
-  private readonly opening = new Map<VmId, Opening>();
-  private readonly dialled = new Map<string, PeerLink>();
-  private readonly all = new Set<PeerLink>();
+  private readonly openLinks = new Map<VmId, PeerLink>();
+  private readonly openingLinks = new Map<VmId, OpeningLink>();
+  private readonly dialledLinks = new Map<string, PeerLink>();
+  private readonly allLinks = new Set<PeerLink>();
 
   constructor(
     private readonly options: PeerLinkOptions,
@@ -36,39 +36,39 @@
   ) {}
 
   send(to: VmId, address: string, message: GossipMessage): void {
-    const link = this.open.get(to);
+    const link = this.openLinks.get(to);
     if (link) return link.send(message);
-    const opening = this.opening.get(to) ?? this.begin(to, address);
+    const opening = this.openingLinks.get(to) ?? this.openLink(to, address);
     opening.waiting.push(message);
-    if (opening.waiting.length > MAX_WAITING) opening.waiting.shift();
+    if (opening.waiting.length > MAX_WAITING_MESSAGES) opening.waiting.shift();
   }
 
   /** Connects to an address whose VM is not known. */
   dial(address: string): void {
-    if (this.dialled.has(address)) return;
-    this.dialled.set(address, openPeerLink(address, this.options, this));
+    if (this.dialledLinks.has(address)) return;
+    this.dialledLinks.set(address, openPeerLink(address, this.options, this));
   }
 
   /** Ends the connections to a VM, so that the next message opens another. */
-  drop(vm: VmId): void {
-    this.open.get(vm)?.close();
-    this.opening.get(vm)?.link.close();
+  closeLinksTo(vm: VmId): void {
+    this.openLinks.get(vm)?.close();
+    this.openingLinks.get(vm)?.link.close();
   }
 
   closeAll(): void {
-    for (const link of this.all) link.close();
-    for (const {link} of this.opening.values()) link.close();
-    for (const link of this.dialled.values()) link.close();
+    for (const link of this.allLinks) link.close();
+    for (const {link} of this.openingLinks.values()) link.close();
+    for (const link of this.dialledLinks.values()) link.close();
   }
 
   opened(link: PeerLink, peer: Member): void {
-    this.all.add(link);
-    this.open.set(peer.id, link);
+    this.allLinks.add(link);
+    this.openLinks.set(peer.id, link);
     this.handler.linked(peer);
-    const opening = this.opening.get(peer.id);
+    const opening = this.openingLinks.get(peer.id);
     if (!opening) return;
     for (const message of opening.waiting.splice(0)) link.send(message);
-    if (opening.link === link) this.opening.delete(peer.id);
+    if (opening.link === link) this.openingLinks.delete(peer.id);
   }
 
   received(link: PeerLink, message: GossipMessage): void {
@@ -76,22 +76,22 @@
   }
 
   ended(link: PeerLink): void {
-    this.all.delete(link);
-    if (link.peer && this.open.get(link.peer.id) === link) {
-      this.open.delete(link.peer.id);
+    this.allLinks.delete(link);
+    if (link.peer && this.openLinks.get(link.peer.id) === link) {
+      this.openLinks.delete(link.peer.id);
     }
-    for (const [vm, opening] of this.opening) {
-      if (opening.link === link) this.opening.delete(vm);
+    for (const [vm, opening] of this.openingLinks) {
+      if (opening.link === link) this.openingLinks.delete(vm);
     }
-    for (const [address, dialled] of this.dialled) {
-      if (dialled === link) this.dialled.delete(address);
+    for (const [address, dialled] of this.dialledLinks) {
+      if (dialled === link) this.dialledLinks.delete(address);
     }
   }
 
-  private begin(to: VmId, address: string): Opening {
+  private openLink(to: VmId, address: string): OpeningLink {
     const link = openPeerLink(address, this.options, this);
     const opening = {link, waiting: []};
-    this.opening.set(to, opening);
+    this.openingLinks.set(to, opening);
     return opening;
   }
 }
--- a/packages/daemon/src/peers/peer_task.ts
+++ b/packages/daemon/src/peers/peer_task.ts
@@ -36,7 +36,7 @@
   | {readonly kind: 'config_seen'; readonly next: number};
 
 /** What the rest of the daemon may tell the other VMs. */
-export type PeerNews = Extract<
+export type PeerUpdate = Extract<
   MembershipEvent,
   {
     readonly kind:
@@ -64,7 +64,7 @@
   readonly exportConfig: (from: number) => ConfigTransfer;
 }
 
-const TICK_MS = 100;
+const TICK_INTERVAL_MS = 100;
 
 /** One instance a VM. */
 export class PeerTask {
@@ -95,8 +95,9 @@
       counters: this.counters,
     };
     this.links = new PeerLinks(options, {
-      linked: member => this.give({kind: 'linked', member}),
-      received: (from, message) => this.give({kind: 'message', from, message}),
+      linked: member => this.handle({kind: 'linked', member}),
+      received: (from, message) =>
+        this.handle({kind: 'message', from, message}),
     });
     this.server = new PeerServer(options, this.links);
   }
@@ -115,13 +116,16 @@
       seed,
       Date.now(),
     );
-    this.timer = setInterval(() => this.give({kind: 'tick'}), TICK_MS);
-    this.give({kind: 'tick'});
+    this.timer = setInterval(
+      () => this.handle({kind: 'tick'}),
+      TICK_INTERVAL_MS,
+    );
+    this.handle({kind: 'tick'});
     return peerAddress;
   }
 
-  tell(news: PeerNews): void {
-    this.give(news);
+  publish(update: PeerUpdate): void {
+    this.handle(update);
   }
 
   /** Every VM known, this one first. */
@@ -137,7 +141,7 @@
     await this.server.close();
   }
 
-  private give(event: MembershipEvent): void {
+  private handle(event: MembershipEvent): void {
     const actions = this.membership?.handle(event, Date.now()) ?? [];
     for (const action of actions) this.perform(action);
   }
@@ -147,13 +151,13 @@
       case 'send':
         return this.links.send(action.to, action.address, action.message);
       case 'relink':
-        return this.links.drop(action.vm);
+        return this.links.closeLinksTo(action.vm);
       case 'dial':
         return this.links.dial(action.address);
       case 'serve_config': {
         const {to, from} = action;
         const transfer = this.cfg.exportConfig(from);
-        return this.give({kind: 'config_read', to, transfer});
+        return this.handle({kind: 'config_read', to, transfer});
       }
       default:
         this.mailbox.post(action);
--- a/packages/daemon/src/peers/peer_wiring.ts
+++ b/packages/daemon/src/peers/peer_wiring.ts
@@ -12,7 +12,7 @@
 import type {StepDirectory} from '../steps/step_directory.js';
 
 /** How often the other VMs are told what this one has in flight, ms. */
-const ownLoadMs = 500;
+const loadReportIntervalMs = 500;
 
 export interface PeerWiringOptions {
   readonly vm: VmId;
@@ -26,7 +26,7 @@
 export class PeerWiring {
   private timer: NodeJS.Timeout | undefined;
   /** Highest offset of the configuration that any peer told. */
-  private configSeen = 0;
+  private highestConfigNext = 0;
   /** VMs that the membership counts as live, this one left out. */
   private livePeers: readonly VmId[] = [];
 
@@ -34,13 +34,15 @@
 
   start(): void {
     const {endpoints, peers, log, dispatcher} = this.options;
-    void endpoints.vmLists.observe(vms => peers.tell({kind: 'vm_list', vms}));
+    void endpoints.vmLists.observe(vms =>
+      peers.publish({kind: 'vm_list', vms}),
+    );
     void log.changes.observe(change => {
       if (change.kind === 'state' || change.kind === 'health') return;
-      peers.tell({kind: 'config_offset', next: log.config.next});
+      peers.publish({kind: 'config_offset', next: log.config.next});
     });
     void dispatcher.notices.observe(({endpoint, fingerprints}) => {
-      peers.tell({kind: 'own_suspects', fingerprints});
+      peers.publish({kind: 'own_suspects', fingerprints});
       void log.append({kind: 'crash_seen', endpoint, fingerprints});
     });
     // A crash that the peers' messages lost is still found in the log.
@@ -52,11 +54,11 @@
       const {fingerprints} = value;
       dispatcher.post({kind: 'suspects', fingerprints});
     });
-    void peers.events.observe(event => this.hear(event));
+    void peers.events.observe(event => this.onPeerEvent(event));
     this.timer = setInterval(() => {
       const inFlight = new Map(dispatcher.countInFlight());
-      peers.tell({kind: 'own_load', inFlight});
-    }, ownLoadMs);
+      peers.publish({kind: 'own_load', inFlight});
+    }, loadReportIntervalMs);
   }
 
   stop(): void {
@@ -64,15 +66,15 @@
   }
 
   /** What is known of the other VMs, for judging whether this one is current. */
-  view(): PeerView {
+  describePeers(): PeerView {
     const {endpoints, vm} = this.options;
     const others = endpoints
       .listVms()
       .filter(entry => entry.state === 'live' && entry.id !== vm);
     return {
-      otherVms: others.length,
-      heardVms: this.livePeers,
-      seenNext: this.configSeen,
+      otherVmCount: others.length,
+      livePeers: this.livePeers,
+      highestConfigNext: this.highestConfigNext,
     };
   }
 
@@ -86,7 +88,7 @@
     return entry?.callerAddress;
   }
 
-  private hear(event: PeerEvent): void {
+  private onPeerEvent(event: PeerEvent): void {
     const {dispatcher, log} = this.options;
     switch (event.kind) {
       case 'vms':
@@ -98,7 +100,7 @@
         log.importConfig(event.transfer);
         return;
       case 'config_seen':
-        this.configSeen = event.next;
+        this.highestConfigNext = event.next;
         return;
       case 'silent_endpoint':
         // Connections of this VM's own may be well; its attempts tell.
--- a/packages/daemon/src/process_signals.ts
+++ b/packages/daemon/src/process_signals.ts
@@ -25,29 +25,30 @@
 const SIGNALS: readonly ProcessSignal[] = ['SIGTERM', 'SIGINT', 'SIGHUP'];
 
 export class ProcessSignals {
-  private readonly held: ProcessSignal[] = [];
+  private readonly pending: ProcessSignal[] = [];
   private listener: SignalListener | undefined;
 
   constructor(source: SignalSource) {
-    for (const signal of SIGNALS) source.on(signal, () => this.take(signal));
+    for (const signal of SIGNALS)
+      source.on(signal, () => this.onSignal(signal));
   }
 
   /** Hands over the signals that came so far, in their order, and each that comes. */
   listen(listener: SignalListener): void {
     this.listener = listener;
-    for (const signal of this.held.splice(0)) listener(signal);
+    for (const signal of this.pending.splice(0)) listener(signal);
   }
 
-  private take(signal: ProcessSignal): void {
+  private onSignal(signal: ProcessSignal): void {
     if (this.listener) this.listener(signal);
-    else this.held.push(signal);
+    else this.pending.push(signal);
   }
 }
 
-let ofThisProcess: ProcessSignals | undefined;
+let processSignals: ProcessSignals | undefined;
 
 /** The signals of this process; the first call installs the handlers. */
-export function holdSignals(): ProcessSignals {
-  ofThisProcess ??= new ProcessSignals(process);
-  return ofThisProcess;
+export function captureSignals(): ProcessSignals {
+  processSignals ??= new ProcessSignals(process);
+  return processSignals;
 }
--- a/packages/daemon/src/rule_book.ts
+++ b/packages/daemon/src/rule_registry.ts
@@ -30,18 +30,18 @@
   readonly compiled: CompiledRules;
 }
 
-const fileName = 'published configuration';
+const sourceName = 'published configuration';
 
 /** Told of each look-up of a rule. */
 export type RuleObserver = (facts: RuleFacts, route: Result<Route>) => void;
 
-export class RuleBook {
+export class RuleRegistry {
   private readonly cache = new Map<TeamId, CompiledVersion>();
 
   constructor(
     private readonly tenants: ReadonlyMap<TenantId, TeamId>,
     private readonly readHistory: () => ConfigHistory,
-    private readonly observe: RuleObserver = () => undefined,
+    private readonly onResolved: RuleObserver = () => undefined,
     private readonly platformTeam?: TeamId,
   ) {}
 
@@ -53,13 +53,13 @@
   /** Finds the rule for a request; a refusal by rule is an error. */
   resolve(team: TeamId, facts: RuleFacts): Result<Route> {
     const route = this.findRoute(team, facts);
-    this.observe(facts, route);
+    this.onResolved(facts, route);
     return route;
   }
 
   /** As `resolve`, but no request is counted. */
   findRoute(team: TeamId, facts: RuleFacts): Result<Route> {
-    const current = this.compile(team);
+    const current = this.getCompiled(team);
     if (!current) return fail(createError('not_current', 'no configuration'));
     const decision = resolveRule(current.compiled, facts);
     if (!decision) return fail(createError('no_rule'));
@@ -82,7 +82,7 @@
    */
   listGroups(): readonly RuleGroup[] {
     const team = this.platformTeam ?? findOnly(new Set(this.tenants.values()));
-    return (team && this.compile(team)?.ruleSet.groups) ?? [];
+    return (team && this.getCompiled(team)?.ruleSet.groups) ?? [];
   }
 
   /**
@@ -98,19 +98,19 @@
       .history(team)
       .find(entry => entry.version === configVersion);
     if (!version) return undefined;
-    const parsed = parseRuleText(version.text, fileName);
+    const parsed = parseRuleText(version.text, sourceName);
     if (!parsed.ok) return undefined;
     const action = parsed.value.rules.find(({name}) => name === rule)?.then;
     if (action?.kind !== 'route') return undefined;
     return {rule, configVersion, action};
   }
 
-  private compile(team: TeamId): CompiledVersion | undefined {
+  private getCompiled(team: TeamId): CompiledVersion | undefined {
     const current = this.readHistory().current(team);
     if (!current) return undefined;
     const cached = this.cache.get(team);
     if (cached?.version === current.version) return cached;
-    const parsed = parseRuleText(current.text, fileName);
+    const parsed = parseRuleText(current.text, sourceName);
     if (!parsed.ok) return cached;
     const compiled = {
       version: current.version,
--- a/packages/daemon/src/scheduling/__tests__/order_task.spec.ts
+++ b/packages/daemon/src/scheduling/__tests__/order_task.spec.ts
@@ -19,7 +19,7 @@
 import {LogTask} from '../../log/log_task.js';
 import {createLogger} from '../../logger.js';
 import {OrderTask} from '../order_task.js';
-import {DEFAULT_SESSION_TIMING} from '../../log/session_keeper.js';
+import {DEFAULT_SESSION_TIMING} from '../../log/session_tracker.js';
 
 const MODEL = 'tutor';
 const POLL_MS = 20;
--- a/packages/daemon/src/serve.ts
+++ b/packages/daemon/src/serve.ts
@@ -3,7 +3,7 @@
 import {randomInt} from 'node:crypto';
 import {formatProblem} from '@radishyoke/core/rules/config_problem';
 import {createLogger, type Logger} from './logger.js';
-import {holdSignals} from './process_signals.js';
+import {captureSignals} from './process_signals.js';
 import {describeSettingsChange} from './settings/settings_change.js';
 import {loadSettings, type Settings} from './settings/settings.js';
 import {Vm} from './vm.js';
@@ -15,7 +15,7 @@
 
 /** Resolves with the exit code when the VM has drained. */
 export async function runServe(path: string): Promise<number> {
-  const signals = holdSignals();
+  const signals = captureSignals();
   const settings = await loadSettings(path);
   if (!settings.ok) {
     for (const problem of settings.error) {
@@ -28,23 +28,23 @@
     vm: vm.id,
     dataCentre: vm.dataCentre,
   });
-  const drainAsked = createTrigger();
+  const drainTrigger = createTrigger();
   const service = new Vm({
     settings: settings.value,
     logger,
     seed: randomInt(maxSeed),
-    requestDrain: () => drainAsked.pull('operator'),
+    requestDrain: () => drainTrigger.pull('operator'),
   });
   signals.listen(signal => {
-    if (signal === 'SIGHUP') void tellReload(path, settings.value, logger);
-    else drainAsked.pull(signal);
+    if (signal === 'SIGHUP') void logReload(path, settings.value, logger);
+    else drainTrigger.pull(signal);
   });
   const failure = await startOrStop(service);
   if (failure) {
     logger.log('error', 'start failed', {detail: failure});
     return exitFailure;
   }
-  const signal = await drainAsked.pulled;
+  const signal = await drainTrigger.pulled;
   logger.log('info', 'draining', {signal});
   const report = await service.drain(shutdown.maxDrainMs);
   logger.log(report.appsLeft > 0 ? 'warn' : 'info', 'stopped', {...report});
@@ -52,7 +52,7 @@
 }
 
 /** Reads the settings again and tells what changed; a file with mistakes changes nothing. */
-async function tellReload(
+async function logReload(
   path: string,
   current: Settings,
   logger: Logger,
--- a/packages/daemon/src/steps/sample_runner.ts
+++ b/packages/daemon/src/steps/sample_runner.ts
@@ -26,13 +26,13 @@
 const adoptedAttempt = 1;
 
 /** Shortest time between two reports of an attempt's progress, ms. */
-const progressReportMs = 250;
+const progressReportIntervalMs = 250;
 
 export interface SampleRunnerOptions extends SampleRef {
   /** Engines know an attempt as `<requestPrefix>.<attempt>`. */
   readonly requestPrefix: string;
   /** The sample as the scheduler sees it. */
-  readonly work: WorkItem;
+  readonly workItem: WorkItem;
   /** Number of the scheduler's first attempt within the sample. */
   readonly firstAttempt: number;
   readonly model: string;
@@ -41,7 +41,7 @@
   readonly seed: number;
   readonly http: HttpDispatcher;
   readonly dispatcher: Dispatcher;
-  readonly onAttempt: (attempt: number, endpoint: EndpointId) => void;
+  readonly onAttemptStart: (attempt: number, endpoint: EndpointId) => void;
   readonly onOutput: (output: SampleOutput) => void;
   readonly onGiveUp: (err: RadishyokeError) => void;
 }
@@ -74,7 +74,7 @@
 export class SampleRunner extends WorkRunner {
   private readonly partials = new Map<number, PartialOutput>();
   private stopped = false;
-  private received = 0;
+  private receivedTokenCount = 0;
 
   constructor(private readonly options: SampleRunnerOptions) {
     super();
@@ -82,13 +82,13 @@
 
   /** Tokens that all attempts together brought. */
   get receivedTokens(): number {
-    return this.received;
+    return this.receivedTokenCount;
   }
 
   /** All attempts, those still running as stopped now. */
   listAttempts(): readonly EndedSampleAttempt[] {
     return [...this.partials].map(([attempt, partial]) => ({
-      attempt: this.numberAttempt(attempt),
+      attempt: this.toSampleAttempt(attempt),
       endpoint: partial.endpoint,
       startedAtMs: partial.startedAtMs,
       endedAtMs: partial.endedAtMs ?? Date.now(),
@@ -98,12 +98,12 @@
   }
 
   get workId(): string {
-    return this.options.work.id;
+    return this.options.workItem.id;
   }
 
   /** Hands the work to the scheduler. */
   submit(): void {
-    this.options.dispatcher.submit(this.options.work, this);
+    this.options.dispatcher.submit(this.options.workItem, this);
   }
 
   /**
@@ -122,14 +122,14 @@
         if (!adopted) {
           adopted = true;
           this.partials.set(adoptedAttempt, partial);
-          const {dispatcher, work} = this.options;
-          dispatcher.adopt(work, this, endpoint.id);
+          const {dispatcher, workItem} = this.options;
+          dispatcher.adopt(workItem, this, endpoint.id);
         }
-        this.take(adoptedAttempt, partial, chunk);
+        this.recordChunk(adoptedAttempt, partial, chunk);
       },
     );
     void partial.stream.attach().then(end => {
-      if (adopted) this.finish(adoptedAttempt, partial, end);
+      if (adopted) this.onStreamEnd(adoptedAttempt, partial, end);
       else if (!this.stopped) this.submit();
     });
   }
@@ -138,8 +138,8 @@
     const prefix = this.selectPrefix(action);
     const partial = createPartial(endpoint.id, prefix);
     this.partials.set(action.attempt, partial);
-    const attempt = this.numberAttempt(action.attempt);
-    this.options.onAttempt(attempt, endpoint.id);
+    const attempt = this.toSampleAttempt(action.attempt);
+    this.options.onAttemptStart(attempt, endpoint.id);
     const resume =
       prefix.length === 0
         ? undefined
@@ -148,11 +148,11 @@
       endpoint,
       `${this.options.requestPrefix}.${attempt}`,
       resume,
-      chunk => this.take(action.attempt, partial, chunk),
+      chunk => this.recordChunk(action.attempt, partial, chunk),
     );
     void partial.stream
       .run()
-      .then(end => this.finish(action.attempt, partial, end));
+      .then(end => this.onStreamEnd(action.attempt, partial, end));
   }
 
   stop(attempt: number): void {
@@ -178,7 +178,7 @@
     this.options.onOutput({
       group,
       sample,
-      attempt: this.numberAttempt(attempt),
+      attempt: this.toSampleAttempt(attempt),
       endpoint: partial.endpoint,
       text: joinText(partial.chunks),
       spans: mergeSpans(partial.chunks),
@@ -214,7 +214,7 @@
     );
   }
 
-  private numberAttempt(attempt: number): number {
+  private toSampleAttempt(attempt: number): number {
     return this.options.firstAttempt + attempt - 1;
   }
 
@@ -231,27 +231,27 @@
     return selected;
   }
 
-  private take(
+  private recordChunk(
     attempt: number,
     partial: PartialOutput,
     chunk: GenerationChunk,
   ): void {
     partial.chunks.push(chunk);
     partial.tokens += chunk.tokens;
-    this.received += chunk.tokens;
+    this.receivedTokenCount += chunk.tokens;
     const nowMs = Date.now();
-    if (nowMs - partial.reportedAtMs < progressReportMs) return;
+    if (nowMs - partial.reportedAtMs < progressReportIntervalMs) return;
     partial.reportedAtMs = nowMs;
     this.options.dispatcher.post({
       kind: 'progress',
-      workId: this.options.work.id,
+      workId: this.options.workItem.id,
       attempt,
       tokens: partial.tokens,
       weightVersion: chunk.weightVersion,
     });
   }
 
-  private finish(
+  private onStreamEnd(
     attempt: number,
     partial: PartialOutput,
     end: GenerationEnd,
@@ -259,9 +259,9 @@
     if (end.kind === 'finished') partial.finishReason = end.finishReason;
     partial.endedAtMs = Date.now();
     partial.end = end.kind === 'failed' ? end.failure : end.kind;
-    const {dispatcher, work} = this.options;
+    const {dispatcher, workItem} = this.options;
     const outcome = resolveOutcome(end, partial);
-    dispatcher.post({kind: 'ended', workId: work.id, attempt, outcome});
+    dispatcher.post({kind: 'ended', workId: workItem.id, attempt, outcome});
   }
 }
 
--- a/packages/daemon/src/steps/step_api.ts
+++ b/packages/daemon/src/steps/step_api.ts
@@ -18,19 +18,19 @@
   readFacts,
   readSingleHeader,
 } from '../callers/caller.js';
-import type {Route, RuleBook} from '../rule_book.js';
+import type {Route, RuleRegistry} from '../rule_registry.js';
 import type {LimitSettings} from '../settings/settings.js';
-import type {StepDirectory, StepPlace} from './step_directory.js';
-import {HEARTBEAT_MS} from './step_stream.js';
+import type {StepDirectory, StepLocation} from './step_directory.js';
+import {HEARTBEAT_INTERVAL_MS} from './step_stream.js';
 
 const stepsPrefix = '/v1/steps/';
 const stepIdPattern = /^[A-Za-z0-9][A-Za-z0-9._-]{0,127}$/;
 /** When a trainer should ask again for a step whose owner is not known, ms. */
 const ownerRetryMs = 500;
 /** Heartbeats missed before a forwarded stream is given up on. */
-const missedHeartbeats = 3;
+const maxMissedHeartbeats = 3;
 
-const cursorSchema = z.coerce.number().int().min(0);
+const nonNegativeIntegerSchema = z.coerce.number().int().min(0);
 const acknowledgementSchema = z.strictObject({
   cursor: z.number().int().min(0),
   weightVersion: z.number().int().min(0),
@@ -40,7 +40,7 @@
   readonly vm: VmId;
   readonly dataCentre: DataCentreId;
   readonly limits: LimitSettings;
-  readonly rules: RuleBook;
+  readonly rules: RuleRegistry;
   readonly directory: StepDirectory;
   readonly http: HttpDispatcher;
   /** `ip:port` of another VM's caller listener. */
@@ -70,7 +70,7 @@
     const caller = identifyCaller(req, this.options.rules);
     if (!caller.ok) return sendError(res, caller.error);
     const url = new URL(req.url ?? '/', 'http://vm');
-    const [id = '', leaf = ''] = url.pathname
+    const [id = '', subpath = ''] = url.pathname
       .slice(stepsPrefix.length)
       .split('/');
     if (!stepIdPattern.test(id)) {
@@ -86,7 +86,7 @@
       url,
       body: body.value,
     };
-    const err = await this.route(call, `${req.method} ${leaf}`.trim());
+    const err = await this.route(call, `${req.method} ${subpath}`.trim());
     if (err) sendError(res, err);
   }
 
@@ -121,38 +121,38 @@
     });
     const route = rules.resolve(team, facts);
     if (!route.ok) return route.error;
-    const place = await directory.open(
+    const location = await directory.open(
       tenant,
       call.step,
-      applyRule(req.value, route.value),
+      limitStaleness(req.value, route.value),
       route.value,
     );
-    if (!place.ok) return place.error;
+    if (!location.ok) return location.error;
     const headers = createRouteHeaders(route.value);
     const owner =
-      place.value.kind === 'elsewhere' ? place.value.vm : this.options.vm;
-    const state = place.value.kind === 'closed' ? 'closed' : 'open';
+      location.value.kind === 'elsewhere' ? location.value.vm : this.options.vm;
+    const state = location.value.kind === 'closed' ? 'closed' : 'open';
     sendJson(call.res, 200, {step: call.step, state, owner}, headers);
     return undefined;
   }
 
   private async follow(call: StepCall): Promise<RadishyokeError | undefined> {
-    const cursor = cursorSchema.safeParse(
+    const cursor = nonNegativeIntegerSchema.safeParse(
       call.url.searchParams.get('cursor') ?? 0,
     );
-    const version = cursorSchema.safeParse(
+    const version = nonNegativeIntegerSchema.safeParse(
       call.url.searchParams.get('weightVersion') ?? 0,
     );
     if (!cursor.success || !version.success) {
       const detail = 'cursor and weightVersion must be whole numbers';
       return createError('bad_request', detail);
     }
-    return this.withStep(call, place => {
-      if (place.kind === 'here') {
-        place.task.attach(call.res, cursor.data, version.data, {});
+    return this.withStep(call, location => {
+      if (location.kind === 'here') {
+        location.task.attach(call.res, cursor.data, version.data, {});
         return;
       }
-      const end = {kind: 'end', fencing: 0, ...countSettled(place)};
+      const end = {kind: 'end', fencing: 0, ...countSettled(location)};
       call.res.writeHead(200, {'content-type': 'application/x-ndjson'});
       call.res.end(`${JSON.stringify(end)}\n`);
     });
@@ -167,45 +167,46 @@
       return createError('bad_request', z.prettifyError(parsed.error));
     }
     const {cursor, weightVersion} = parsed.data;
-    return this.withStep(call, place => {
-      if (place.kind === 'here') place.task.acknowledge(cursor, weightVersion);
+    return this.withStep(call, location => {
+      if (location.kind === 'here')
+        location.task.acknowledge(cursor, weightVersion);
       sendJson(call.res, 202, {cursor});
     });
   }
 
   private async cancel(call: StepCall): Promise<RadishyokeError | undefined> {
-    return this.withStep(call, place => {
-      if (place.kind === 'here') place.task.cancel();
+    return this.withStep(call, location => {
+      if (location.kind === 'here') location.task.cancel();
       sendJson(call.res, 202, {step: call.step});
     });
   }
 
   private async describe(call: StepCall): Promise<RadishyokeError | undefined> {
-    return this.withStep(call, place => {
+    return this.withStep(call, location => {
       const {step} = call;
-      if (place.kind === 'here') {
-        const progress = place.task.describe();
+      if (location.kind === 'here') {
+        const progress = location.task.describe();
         sendJson(call.res, 200, {step, state: 'open', ...progress});
         return;
       }
-      const state = place.ledger.closed;
-      sendJson(call.res, 200, {step, state, ...countSettled(place)});
+      const state = location.ledger.closed;
+      sendJson(call.res, 200, {step, state, ...countSettled(location)});
     });
   }
 
   /** Answers here, or forwards to the VM that owns the step. */
   private async withStep(
     call: StepCall,
-    answer: (place: Exclude<StepPlace, {kind: 'elsewhere'}>) => void,
+    answer: (location: Exclude<StepLocation, {kind: 'elsewhere'}>) => void,
   ): Promise<RadishyokeError | undefined> {
     const {tenant} = call.caller;
-    const place = await this.options.directory.locate(tenant, call.step);
-    if (!place.ok) return place.error;
-    if (place.value.kind !== 'elsewhere') {
-      answer(place.value);
+    const location = await this.options.directory.locate(tenant, call.step);
+    if (!location.ok) return location.error;
+    if (location.value.kind !== 'elsewhere') {
+      answer(location.value);
       return undefined;
     }
-    return this.forward(call, place.value.vm);
+    return this.forward(call, location.value.vm);
   }
 
   private async forward(
@@ -229,7 +230,7 @@
         headers: {...call.req.headers, [forwardedBy]: this.options.vm},
         body: call.body,
         answerHeaders: {},
-        progressTimeoutMs: missedHeartbeats * HEARTBEAT_MS,
+        progressTimeoutMs: maxMissedHeartbeats * HEARTBEAT_INTERVAL_MS,
       },
       call.res,
     );
@@ -276,14 +277,14 @@
 }
 
 /** Tightens the trainer's bound to the rule's. */
-function applyRule(req: StepRequest, route: Route): StepRequest {
+function limitStaleness(req: StepRequest, route: Route): StepRequest {
   const {maxStaleness} = route.action;
   if (maxStaleness === undefined) return req;
   return {...req, maxStaleness: Math.min(req.maxStaleness, maxStaleness)};
 }
 
-function countSettled(place: Extract<StepPlace, {kind: 'closed'}>) {
-  const committed = place.ledger.listCommitted();
+function countSettled(location: Extract<StepLocation, {kind: 'closed'}>) {
+  const committed = location.ledger.listCommitted();
   const shortfalls = committed.filter(entry => entry.shortfall).length;
   return {rollouts: committed.length - shortfalls, shortfalls};
 }
--- a/packages/daemon/src/steps/step_directory.ts
+++ b/packages/daemon/src/steps/step_directory.ts
@@ -18,12 +18,12 @@
 import type {Dispatcher} from '../scheduling/dispatcher.js';
 import type {LogTask} from '../log/log_task.js';
 import type {Logger} from '../logger.js';
-import type {Route} from '../rule_book.js';
+import type {Route} from '../rule_registry.js';
 import type {EndedSampleAttempt} from './sample_runner.js';
 import {StepEnd, StepTask} from './step_task.js';
 
 /** Where a step is to be found. */
-export type StepPlace =
+export type StepLocation =
   | {readonly kind: 'here'; readonly task: StepTask}
   | {readonly kind: 'elsewhere'; readonly vm: VmId}
   | {readonly kind: 'closed'; readonly ledger: StepLedger};
@@ -38,7 +38,7 @@
   readonly maxOpenSteps: number;
   /** Rule that now holds for a step; its own rule may be gone. */
   readonly resolveRoute: (ledger: StepLedger) => Result<Route>;
-  readonly onAttempts: (
+  readonly onRunEnd: (
     ledger: StepLedger,
     ref: SampleRef,
     attempts: readonly EndedSampleAttempt[],
@@ -49,20 +49,23 @@
 }
 
 /** How often steps without an owner are looked for, ms. */
-const orphanScanMs = 500;
+const unownedScanIntervalMs = 500;
 /** How much longer each VM waits than the one before it in line, ms. */
-const orphanTurnMs = 1500;
+const claimStaggerMs = 1500;
 
 export class StepDirectory {
   private readonly tasks = new Map<string, StepTask>();
-  private readonly claiming = new Map<string, Promise<Result<StepPlace>>>();
-  private readonly orphanSince = new Map<string, number>();
+  private readonly pendingClaims = new Map<
+    string,
+    Promise<Result<StepLocation>>
+  >();
+  private readonly unownedSinceMs = new Map<string, number>();
   private readonly scanner: NodeJS.Timeout;
   private liveVms: readonly VmId[] = [];
-  private leaving = false;
+  private isClosing = false;
 
   constructor(private readonly options: StepDirectoryOptions) {
-    this.scanner = setInterval(() => this.scanOrphans(), orphanScanMs);
+    this.scanner = setInterval(() => this.scanUnowned(), unownedScanIntervalMs);
   }
 
   setLiveVms(vms: readonly VmId[]): void {
@@ -79,14 +82,14 @@
     step: StepId,
     req: StepRequest,
     route: Route,
-  ): Promise<Result<StepPlace>> {
+  ): Promise<Result<StepLocation>> {
     const {log, maxOpenSteps} = this.options;
     const digest = computeDigest(JSON.stringify(req));
-    const known = log.state.findStep(tenant, step);
-    if (known && known.opening.digest !== digest) {
+    const existing = log.state.findStep(tenant, step);
+    if (existing && existing.opening.digest !== digest) {
       return fail(createError('step_conflict'));
     }
-    if (known) return this.locate(tenant, step);
+    if (existing) return this.locate(tenant, step);
     if (this.tasks.size >= maxOpenSteps) {
       return fail(createError('overloaded', 'too many open steps on this VM'));
     }
@@ -109,10 +112,10 @@
   }
 
   /** Finds a step, taking it over when nobody owns it. */
-  async locate(tenant: TenantId, step: StepId): Promise<Result<StepPlace>> {
+  async locate(tenant: TenantId, step: StepId): Promise<Result<StepLocation>> {
     const {log} = this.options;
     const ledger = log.state.findStep(tenant, step);
-    if (!ledger && !log.wasStateRead)
+    if (!ledger && !log.hasReadState)
       return fail(createError('log_unavailable'));
     if (!ledger) return fail(createError('not_found', `no step ${step}`));
     if (ledger.closed) return succeed({kind: 'closed', ledger});
@@ -124,15 +127,15 @@
   }
 
   /** Gives all steps back for others to go on with. */
-  leave(): void {
-    this.leaving = true;
+  releaseAll(): void {
+    this.isClosing = true;
     clearInterval(this.scanner);
-    for (const task of [...this.tasks.values()]) task.leave();
+    for (const task of [...this.tasks.values()]) task.release();
   }
 
   /** Stops without a word, as a crash would. */
   stop(): void {
-    this.leaving = true;
+    this.isClosing = true;
     clearInterval(this.scanner);
     for (const task of this.tasks.values()) task.stop();
   }
@@ -141,23 +144,25 @@
     const {log, vm} = this.options;
     const lease = log.state.leases.find(buildStepLeaseName(ledger.key));
     if (!lease || lease.vm === vm) return undefined;
-    const held = log.state.leases.isHeld(lease, log.estimateLogNowMs());
-    return held ? lease.vm : undefined;
+    const isHeld = log.state.leases.isHeld(lease, log.estimateLogNowMs());
+    return isHeld ? lease.vm : undefined;
   }
 
   /** One claim at a time for a step: a second would only burn an append. */
-  private claim(ledger: StepLedger): Promise<Result<StepPlace>> {
-    const pending = this.claiming.get(ledger.key);
+  private claim(ledger: StepLedger): Promise<Result<StepLocation>> {
+    const pending = this.pendingClaims.get(ledger.key);
     if (pending) return pending;
-    const claim = this.claimOnce(ledger).finally(() =>
-      this.claiming.delete(ledger.key),
+    const claim = this.claimAndStart(ledger).finally(() =>
+      this.pendingClaims.delete(ledger.key),
     );
-    this.claiming.set(ledger.key, claim);
+    this.pendingClaims.set(ledger.key, claim);
     return claim;
   }
 
-  private async claimOnce(ledger: StepLedger): Promise<Result<StepPlace>> {
-    if (this.leaving) return fail(createError('draining'));
+  private async claimAndStart(
+    ledger: StepLedger,
+  ): Promise<Result<StepLocation>> {
+    if (this.isClosing) return fail(createError('draining'));
     const route = this.options.resolveRoute(ledger);
     if (!route.ok) return route;
     const lease = buildStepLeaseName(ledger.key);
@@ -186,11 +191,10 @@
       http,
       logger,
       slowReaderTimeoutMs,
-      onAttempts: (ref, attempts) =>
-        this.options.onAttempts(ledger, ref, attempts),
+      onRunEnd: (ref, attempts) => this.options.onRunEnd(ledger, ref, attempts),
       onWasted: tokens => this.options.onWasted(ledger, tokens),
       onSettled: output => this.options.onSettled(ledger, output),
-      onEnd: end => this.end(ledger, task, end),
+      onEnd: end => this.onTaskEnd(ledger, task, end),
     });
     this.tasks.set(ledger.key, task);
     logger.log('info', 'step owned', {
@@ -204,7 +208,7 @@
     return task;
   }
 
-  private end(ledger: StepLedger, task: StepTask, end: StepEnd): void {
+  private onTaskEnd(ledger: StepLedger, task: StepTask, end: StepEnd): void {
     if (this.tasks.get(ledger.key) === task) this.tasks.delete(ledger.key);
     const lease = buildStepLeaseName(ledger.key);
     if (end === 'left') {
@@ -223,27 +227,27 @@
    * stand in an order of their own for each step, so that as a rule one claims
    * and the others find it owned when their turn comes.
    */
-  private scanOrphans(): void {
-    if (this.leaving) return;
+  private scanUnowned(): void {
+    if (this.isClosing) return;
     const {log} = this.options;
-    const orphans = log.state.listUnownedSteps(log.estimateLogNowMs());
-    const keys = new Set(orphans.map(ledger => ledger.key));
-    for (const key of [...this.orphanSince.keys()]) {
-      if (!keys.has(key)) this.orphanSince.delete(key);
+    const unowned = log.state.listUnownedSteps(log.estimateLogNowMs());
+    const keys = new Set(unowned.map(ledger => ledger.key));
+    for (const key of [...this.unownedSinceMs.keys()]) {
+      if (!keys.has(key)) this.unownedSinceMs.delete(key);
     }
-    for (const ledger of orphans) this.considerOrphan(ledger);
+    for (const ledger of unowned) this.claimWhenDue(ledger);
   }
 
-  private considerOrphan(ledger: StepLedger): void {
+  private claimWhenDue(ledger: StepLedger): void {
     if (this.tasks.has(ledger.key)) return;
-    const sinceMs = this.orphanSince.get(ledger.key) ?? Date.now();
-    this.orphanSince.set(ledger.key, sinceMs);
-    const waitMs = this.findTurn(ledger.key) * orphanTurnMs;
+    const sinceMs = this.unownedSinceMs.get(ledger.key) ?? Date.now();
+    this.unownedSinceMs.set(ledger.key, sinceMs);
+    const waitMs = this.findClaimRank(ledger.key) * claimStaggerMs;
     if (Date.now() - sinceMs < waitMs) return;
     void this.claim(ledger);
   }
 
-  private findTurn(key: string): number {
+  private findClaimRank(key: string): number {
     const {vm} = this.options;
     const rank = (id: VmId) => computeDigest(`${id} ${key}`);
     const own = rank(vm);
--- a/packages/daemon/src/steps/step_records.ts
+++ b/packages/daemon/src/steps/step_record_writer.ts
@@ -13,9 +13,9 @@
 import type {LogTask, StateBody} from '../log/log_task.js';
 
 /** How long records wait for others to share an append with, ms. */
-const batchMs = 20;
+const batchDelayMs = 20;
 /** Pause before a refused commit is tried again, ms. */
-const commitRetryMs = 500;
+const commitRetryDelayMs = 500;
 
 /** An attempt that began, as the log is told of it. */
 interface StartedAttempt extends SampleRef {
@@ -24,13 +24,13 @@
 }
 
 /** A record of this step, less what each of them bears. */
-type OwnedBody = StateBody extends infer Body
+type StepRecordBody = StateBody extends infer Body
   ? Body extends {readonly fencing: number; readonly step: unknown}
     ? Omit<Body, 'tenant' | 'step' | 'fencing'>
     : never
   : never;
 
-export interface StepRecordsOptions {
+export interface StepRecordWriterOptions {
   readonly ledger: StepLedger;
   readonly fencing: number;
   readonly log: LogTask;
@@ -42,16 +42,16 @@
   readonly onSuperseded: () => void;
 }
 
-export class StepRecords {
+export class StepRecordWriter {
   private attempts: StartedAttempt[] = [];
   private commits: SampleCommit[] = [];
   private flushTimer: NodeJS.Timeout | undefined;
   private retryTimers = new Set<NodeJS.Timeout>();
   private stopped = false;
 
-  constructor(private readonly options: StepRecordsOptions) {}
+  constructor(private readonly options: StepRecordWriterOptions) {}
 
-  noteAttempt(ref: SampleRef, attempt: number, endpoint: EndpointId): void {
+  recordAttempt(ref: SampleRef, attempt: number, endpoint: EndpointId): void {
     const {group, sample} = ref;
     this.attempts.push({group, sample, attempt, endpoint});
     this.scheduleFlush();
@@ -97,7 +97,7 @@
   }
 
   private scheduleFlush(): void {
-    this.flushTimer ??= setTimeout(() => this.flush(), batchMs);
+    this.flushTimer ??= setTimeout(() => this.flush(), batchDelayMs);
   }
 
   private async writeCommits(samples: readonly SampleCommit[]): Promise<void> {
@@ -110,13 +110,13 @@
     const timer = setTimeout(() => {
       this.retryTimers.delete(timer);
       this.options.onRefused(samples);
-    }, commitRetryMs);
+    }, commitRetryDelayMs);
     this.retryTimers.add(timer);
   }
 
   /** Appends a record under this owner's fencing number; undefined if not taken. */
   private async write(
-    body: OwnedBody,
+    body: StepRecordBody,
   ): Promise<readonly CommittedSample[] | undefined> {
     const {log, ledger, fencing} = this.options;
     const {tenant, step} = ledger.opening;
--- a/packages/daemon/src/steps/step_runs.ts
+++ b/packages/daemon/src/steps/step_runs.ts
@@ -29,8 +29,8 @@
   readonly dispatcher: Dispatcher;
   readonly http: HttpDispatcher;
   /** Unix ms at which the step's work is worth nothing any more. */
-  readonly findDeadline: () => number;
-  readonly onAttempt: (
+  readonly findDeadlineAtMs: () => number;
+  readonly onAttemptStart: (
     ref: SampleRef,
     attempt: number,
     endpoint: EndpointId,
@@ -38,7 +38,7 @@
   readonly onOutput: (output: SampleOutput) => void;
   readonly onGiveUp: (ref: SampleRef, error: RadishyokeError) => void;
   /** Told of a run's attempts when it is over, however it ended. */
-  readonly onAttempts: (
+  readonly onRunEnd: (
     ref: SampleRef,
     attempts: readonly EndedSampleAttempt[],
   ) => void;
@@ -54,27 +54,27 @@
 export class StepRuns {
   private readonly runs = new Map<string, Run>();
   /** Samples whose attempt by an earlier owner was already gone on from. */
-  private readonly inherited = new Set<string>();
-  private round = 0;
+  private readonly adoptedSamples = new Set<string>();
+  private workItemCount = 0;
 
   constructor(private readonly options: StepRunsOptions) {}
 
   run(order: RunOrder): void {
     const {group, sample} = order;
     const ref: SampleRef = {group, sample};
-    const inherited = this.findInherited(ref);
+    const adoptable = this.findAdoptableAttempt(ref);
     const runner = this.createRunner(
       order,
       ref,
-      inherited?.attempt ?? order.firstAttempt,
+      adoptable?.attempt ?? order.firstAttempt,
     );
     this.runs.set(formatSampleKey(ref), {ref, runner});
-    if (!inherited) {
+    if (!adoptable) {
       runner.submit();
       return;
     }
-    const prefix = this.buildRequestPrefix(ref, inherited.fencing);
-    runner.adopt(inherited.endpoint, `${prefix}.${inherited.attempt}`);
+    const prefix = this.buildRequestPrefix(ref, adoptable.fencing);
+    runner.adopt(adoptable.endpoint, `${prefix}.${adoptable.attempt}`);
   }
 
   abandon(ref: SampleRef): void {
@@ -82,7 +82,7 @@
     if (!run) return;
     this.options.dispatcher.cancel(run.runner.workId);
     run.runner.stopAll();
-    this.forget(ref);
+    this.endRun(ref);
   }
 
   /** Samples that already hold output of weights older than `version`. */
@@ -121,7 +121,7 @@
     return new SampleRunner({
       ...ref,
       requestPrefix: this.buildRequestPrefix(ref, fencing),
-      work: this.buildWork(order),
+      workItem: this.buildWorkItem(order),
       firstAttempt,
       model,
       prompt,
@@ -129,42 +129,42 @@
       seed: hashSeed(`${ledger.key}/${formatSampleKey(ref)}`),
       http,
       dispatcher,
-      onAttempt: (attempt, endpoint) =>
-        this.options.onAttempt(ref, attempt, endpoint),
+      onAttemptStart: (attempt, endpoint) =>
+        this.options.onAttemptStart(ref, attempt, endpoint),
       onOutput: output => {
-        this.forget(ref, sumTokens(output.spans));
+        this.endRun(ref, sumTokens(output.spans));
         this.options.onOutput(output);
       },
       onGiveUp: error => {
-        this.forget(ref);
+        this.endRun(ref);
         this.options.onGiveUp(ref, error);
       },
     });
   }
 
   /** The last attempt of an earlier owner, if its endpoint is still there. */
-  private findInherited(ref: SampleRef) {
+  private findAdoptableAttempt(ref: SampleRef) {
     const {ledger, dispatcher, fencing} = this.options;
     const last = ledger.listAttempts(ref.group, ref.sample).at(-1);
     if (!last || last.fencing === fencing) return undefined;
-    if (this.inherited.has(formatSampleKey(ref))) return undefined;
-    this.inherited.add(formatSampleKey(ref));
+    if (this.adoptedSamples.has(formatSampleKey(ref))) return undefined;
+    this.adoptedSamples.add(formatSampleKey(ref));
     const endpoint = dispatcher.findEndpoint(last.endpoint);
     return endpoint && {...last, endpoint};
   }
 
-  private buildWork(order: RunOrder): WorkItem {
-    const {ledger, action, findDeadline} = this.options;
+  private buildWorkItem(order: RunOrder): WorkItem {
+    const {ledger, action, findDeadlineAtMs} = this.options;
     const {tenant, req} = ledger.opening;
     const {prompt, maxTokens} = req.groups[order.group];
     return {
-      id: `${ledger.key}/${formatSampleKey(order)}#${++this.round}`,
+      id: `${ledger.key}/${formatSampleKey(order)}#${++this.workItemCount}`,
       tenant,
       workClass: 'rollout',
       group: action.group,
       model: req.model,
       priority: action.priority,
-      deadlineAtMs: findDeadline(),
+      deadlineAtMs: findDeadlineAtMs(),
       promptTokens: Math.ceil(prompt.length / charsPerToken),
       maxTokens,
       prefixKey: computePrefixKey(prompt),
@@ -182,12 +182,12 @@
   }
 
   /** The run is over; of what it received, `usedTokens` are handed over. */
-  private forget(ref: SampleRef, usedTokens = 0): void {
+  private endRun(ref: SampleRef, usedTokens = 0): void {
     const key = formatSampleKey(ref);
     const run = this.runs.get(key);
     if (!run) return;
     this.runs.delete(key);
-    this.options.onAttempts(ref, run.runner.listAttempts());
+    this.options.onRunEnd(ref, run.runner.listAttempts());
     const received = run.runner.receivedTokens;
     if (received > usedTokens) this.options.onWasted(received - usedTokens);
   }
--- a/packages/daemon/src/steps/step_stream.ts
+++ b/packages/daemon/src/steps/step_stream.ts
@@ -4,7 +4,7 @@
 import type {StepEvent} from '@radishyoke/shared/rollout';
 
 /** Time between heartbeats; a client takes three missed ones for a cut, ms. */
-export const HEARTBEAT_MS = 1000;
+export const HEARTBEAT_INTERVAL_MS = 1000;
 
 export class StepStream {
   private readonly heartbeat: NodeJS.Timeout;
@@ -18,15 +18,18 @@
   ) {
     res.writeHead(200, {'content-type': 'application/x-ndjson', ...headers});
     res.on('drain', () => (this.blockedSinceMs = undefined));
-    this.heartbeat = setInterval(() => this.beat(), HEARTBEAT_MS);
+    this.heartbeat = setInterval(
+      () => this.sendHeartbeat(),
+      HEARTBEAT_INTERVAL_MS,
+    );
     res.once('close', () => clearInterval(this.heartbeat));
-    this.beat();
+    this.sendHeartbeat();
   }
 
   send(event: StepEvent): void {
     if (this.res.destroyed) return;
-    const taken = this.res.write(`${JSON.stringify(event)}\n`);
-    if (!taken) this.blockedSinceMs ??= Date.now();
+    const hasRoom = this.res.write(`${JSON.stringify(event)}\n`);
+    if (!hasRoom) this.blockedSinceMs ??= Date.now();
   }
 
   /** Ends the response; what was sent before still goes out. */
@@ -35,7 +38,7 @@
     this.res.end();
   }
 
-  private beat(): void {
+  private sendHeartbeat(): void {
     // A reader that takes nothing would pile up every rollout of the step in
     // this process. It is cut off and goes on from its cursor when it is back.
     const blockedMs = Date.now() - (this.blockedSinceMs ?? Date.now());
--- a/packages/daemon/src/steps/step_task.ts
+++ b/packages/daemon/src/steps/step_task.ts
@@ -24,13 +24,13 @@
 import type {Logger} from '../logger.js';
 import {createMailbox} from '../mailbox.js';
 import type {EndedSampleAttempt} from './sample_runner.js';
-import {StepRecords} from './step_records.js';
+import {StepRecordWriter} from './step_record_writer.js';
 import {StepRuns} from './step_runs.js';
 import {StepStream} from './step_stream.js';
 import {recoverWinner} from './winner_recovery.js';
 
 /** How often deadlines are looked at, ms. */
-const tickMs = 200;
+const tickIntervalMs = 200;
 /**
  * What became of a step at this VM. After `lost` and `left` another VM goes on
  * with it.
@@ -49,7 +49,7 @@
   /** Called once; the task does nothing more after it. */
   readonly onEnd: (end: StepEnd) => void;
   /** Told of a run's attempts when it is over, however it ended. */
-  readonly onAttempts: (
+  readonly onRunEnd: (
     ref: SampleRef,
     attempts: readonly EndedSampleAttempt[],
   ) => void;
@@ -63,7 +63,7 @@
   private readonly inputs = createMailbox<StepInput>();
   private readonly machine: StepMachine;
   private readonly runs: StepRuns;
-  private readonly records: StepRecords;
+  private readonly recordWriter: StepRecordWriter;
   private readonly ticker: NodeJS.Timeout;
   private stream: StepStream | undefined;
   private ended = false;
@@ -75,14 +75,14 @@
       step,
       req,
       fencing,
-      openedAtMs: estimateOpenedAt(options),
+      openedAtMs: estimateOpenedAtMs(options),
       ownedFromMs: Date.now(),
       history: readHistory(ledger),
     });
-    this.records = this.createRecords();
+    this.recordWriter = this.createRecordWriter();
     this.runs = this.createRuns();
     void this.inputs.messages.observe(input => this.handle(input));
-    this.ticker = setInterval(() => this.tick(), tickMs);
+    this.ticker = setInterval(() => this.tick(), tickIntervalMs);
   }
 
   get fencing(): number {
@@ -90,7 +90,7 @@
   }
 
   begin(): void {
-    this.carryOutAll(this.machine.begin());
+    this.executeAll(this.machine.begin());
   }
 
   /** Connects the trainer's response; an earlier one is ended. */
@@ -129,7 +129,7 @@
   }
 
   /** Stops without closing the step: another VM goes on with it. */
-  leave(): void {
+  release(): void {
     this.finish('left');
   }
 
@@ -137,13 +137,13 @@
   stop(): void {
     this.ended = true;
     clearInterval(this.ticker);
-    this.records.stop();
+    this.recordWriter.stop();
     this.runs.detachAll();
   }
 
   private handle(input: StepInput): void {
     if (this.ended) return;
-    this.carryOutAll(this.machine.handle(input, Date.now()));
+    this.executeAll(this.machine.handle(input, Date.now()));
   }
 
   private tick(): void {
@@ -158,11 +158,11 @@
     this.inputs.post({kind: 'tick'});
   }
 
-  private carryOutAll(outputs: readonly StepOutput[]): void {
-    for (const output of outputs) this.carryOut(output);
+  private executeAll(outputs: readonly StepOutput[]): void {
+    for (const output of outputs) this.execute(output);
   }
 
-  private carryOut(output: StepOutput): void {
+  private execute(output: StepOutput): void {
     switch (output.kind) {
       case 'run':
         return this.runs.run(output);
@@ -171,9 +171,9 @@
       case 'min_version':
         return this.raiseMinVersion(output.minWeightVersion);
       case 'commit':
-        return this.records.commit(output.samples);
+        return this.recordWriter.commit(output.samples);
       case 'void':
-        return this.records.voidWinners(output.cursors);
+        return this.recordWriter.voidWinners(output.cursors);
       case 'send':
         this.stream?.send(output.event);
         if (output.event.kind === 'end') this.stream?.end();
@@ -182,16 +182,19 @@
         void this.recover(output.committed);
         return;
       case 'acknowledge':
-        return this.records.acknowledge(output.cursor, output.weightVersion);
+        return this.recordWriter.acknowledge(
+          output.cursor,
+          output.weightVersion,
+        );
       case 'close':
-        this.records.close(output.reason);
+        this.recordWriter.close(output.reason);
         return this.finish(output.reason);
     }
   }
 
-  private createRecords(): StepRecords {
+  private createRecordWriter(): StepRecordWriter {
     const {ledger, fencing, log} = this.options;
-    return new StepRecords({
+    return new StepRecordWriter({
       ledger,
       fencing,
       log,
@@ -210,11 +213,11 @@
       action,
       dispatcher,
       http,
-      findDeadline: () =>
-        estimateOpenedAt(options) + ledger.opening.req.timeoutMs,
-      onAttempt: (ref, attempt, endpoint) => {
+      findDeadlineAtMs: () =>
+        estimateOpenedAtMs(options) + ledger.opening.req.timeoutMs,
+      onAttemptStart: (ref, attempt, endpoint) => {
         this.machine.recordAttempt(ref, attempt);
-        this.records.noteAttempt(ref, attempt, endpoint);
+        this.recordWriter.recordAttempt(ref, attempt, endpoint);
       },
       onOutput: output => {
         options.onSettled(output);
@@ -222,7 +225,7 @@
       },
       onGiveUp: (ref, error) =>
         this.inputs.post({kind: 'failed', ...ref, error}),
-      onAttempts: options.onAttempts,
+      onRunEnd: options.onRunEnd,
       onWasted: options.onWasted,
     });
   }
@@ -265,10 +268,10 @@
 
   private finish(end: StepEnd): void {
     if (this.ended) return;
-    if (end === 'left') this.records.flush();
+    if (end === 'left') this.recordWriter.flush();
     this.ended = true;
     clearInterval(this.ticker);
-    this.records.stop();
+    this.recordWriter.stop();
     this.runs.forgetAll();
     this.runs.detachAll();
     this.stream?.end();
@@ -277,7 +280,7 @@
 }
 
 /** When the step was opened, on this VM's clock. */
-function estimateOpenedAt(options: StepTaskOptions): number {
+function estimateOpenedAtMs(options: StepTaskOptions): number {
   const {ledger, log} = options;
   const ageMs = log.estimateLogNowMs() - ledger.opening.openedAtMs;
   return Date.now() - Math.max(0, ageMs);
--- a/packages/daemon/src/vm.ts
+++ b/packages/daemon/src/vm.ts
@@ -26,7 +26,7 @@
 import {OrderTask} from './scheduling/order_task.js';
 import {PeerTask} from './peers/peer_task.js';
 import {PeerWiring} from './peers/peer_wiring.js';
-import {RuleBook} from './rule_book.js';
+import {RuleRegistry} from './rule_registry.js';
 import type {Settings} from './settings/settings.js';
 import {StepApi} from './steps/step_api.js';
 import {StepDirectory} from './steps/step_directory.js';
@@ -35,13 +35,13 @@
 
 const claimHorizonMs = 3_600_000;
 /** How often trainers are looked at for waiting, ms. */
-const idleSampleMs = 500;
+const idleSampleIntervalMs = 500;
 /** Most connections to one endpoint. */
 const connectionsPerEndpoint = 512;
 const connectTimeoutMs = 1000;
-const drainPollMs = 50;
+const drainPollIntervalMs = 50;
 /** Longest wait for the last records to be taken, ms. */
-const lastRecordsMs = 2000;
+const finalAppendTimeoutMs = 2000;
 
 export interface VmOptions {
   readonly settings: Settings;
@@ -64,12 +64,12 @@
   readonly dispatcher: Dispatcher;
   readonly endpoints: EndpointTask;
   readonly directory: StepDirectory;
-  readonly rules: RuleBook;
+  readonly rules: RuleRegistry;
   readonly metrics = new VmMetrics();
   private readonly incarnation = toIncarnationId(randomUUID());
   private readonly admin: AdminServer;
-  private adminAddressTaken = '';
-  private peerAddressTaken = '';
+  private boundAdminAddress = '';
+  private boundPeerAddress = '';
   private readonly http: RenewingAgent;
   private readonly logClient: HttpLogClient;
   private readonly vmListClient: HttpVmListClient;
@@ -82,9 +82,9 @@
   private readonly audit: AuditTask;
   private readonly auditRecorder: AuditRecorder;
   private readonly server: CallerServer;
-  private draining = false;
+  private isDraining = false;
   /** New requests are refused; the notice to the balancer is over. */
-  private refusing = false;
+  private isRefusing = false;
 
   constructor(private readonly options: VmOptions) {
     const {settings, logger} = options;
@@ -110,7 +110,7 @@
       notReadyAfterMs: settings.config.notReadyAfterMs,
       checkConfig: checkRuleText,
     });
-    this.rules = new RuleBook(
+    this.rules = new RuleRegistry(
       settings.tenants,
       () => this.log.config,
       (facts, route) => this.metrics.recordRoute(facts, route),
@@ -192,18 +192,21 @@
 
   /** Address that the administration API took; empty before the start. */
   get adminAddress(): string {
-    return this.adminAddressTaken;
+    return this.boundAdminAddress;
   }
 
   /** `ip:port` that other VMs connect to, once started. */
   get peerAddress(): string {
-    return this.peerAddressTaken;
+    return this.boundPeerAddress;
   }
 
   /** Starts all tasks; resolves with the address callers connect to. */
   async start(): Promise<string> {
     this.wiring.start();
-    this.idleTimer = setInterval(() => this.sampleIdle(), idleSampleMs);
+    this.idleTimer = setInterval(
+      () => this.sampleTrainerIdle(),
+      idleSampleIntervalMs,
+    );
     void this.dispatcher.firstOutputs.observe(output =>
       this.metrics.recordFirstOutput(output),
     );
@@ -214,8 +217,8 @@
     this.audit.start();
     this.log.start();
     const {adminAddress} = this.options.settings.vm;
-    this.adminAddressTaken = await this.admin.listen(adminAddress);
-    this.peerAddressTaken = await this.peers.start();
+    this.boundAdminAddress = await this.admin.listen(adminAddress);
+    this.boundPeerAddress = await this.peers.start();
     await this.endpoints.start();
     this.orders.start();
     const address = await this.server.listen();
@@ -233,21 +236,21 @@
    * requests in flight, at most `maxDrainMs`.
    */
   async drain(maxDrainMs: number): Promise<DrainReport> {
-    this.draining = true;
-    this.peers.tell({kind: 'leave'});
+    this.isDraining = true;
+    this.peers.publish({kind: 'leave'});
     const deadlineAtMs = Date.now() + maxDrainMs;
     // The balancer goes on sending for a while after /readyz has changed; a
     // refusal in that time would reach callers that did nothing wrong.
     await sleep(this.options.settings.shutdown.noticeMs);
-    this.refusing = true;
+    this.isRefusing = true;
     const stepsHandedOver = this.directory.listTasks().size;
-    this.directory.leave();
+    this.directory.releaseAll();
     while (this.apps.countInFlight() > 0 && Date.now() < deadlineAtMs) {
-      await sleep(drainPollMs);
+      await sleep(drainPollIntervalMs);
     }
     const appsLeft = this.apps.countInFlight();
-    await Promise.race([this.audit.leave(), sleep(lastRecordsMs)]);
-    await Promise.race([this.log.leave(), sleep(lastRecordsMs)]);
+    await Promise.race([this.audit.leave(), sleep(finalAppendTimeoutMs)]);
+    await Promise.race([this.log.closeSession(), sleep(finalAppendTimeoutMs)]);
     await this.stop();
     return {appsLeft, stepsHandedOver};
   }
@@ -289,12 +292,12 @@
     });
   }
 
-  private sampleIdle(): void {
+  private sampleTrainerIdle(): void {
     const own = this.directory.listTasks();
     const ledgers = this.log.state.listSteps();
-    this.metrics.sampleIdle(
+    this.metrics.sampleTrainerIdle(
       ledgers.filter(ledger => own.has(ledger.key)),
-      idleSampleMs,
+      idleSampleIntervalMs,
     );
   }
 
@@ -310,7 +313,7 @@
       peers: this.peers,
       metrics: this.metrics,
       isReady: () => this.findReadyObstacle() === undefined,
-      isDraining: () => this.draining,
+      isDraining: () => this.isDraining,
       requestDrain,
     });
     return new AdminServer(backend, settings, access => {
@@ -331,7 +334,7 @@
       slowReaderTimeoutMs: limits.slowReaderTimeoutMs,
       maxOpenSteps: limits.maxOpenSteps,
       resolveRoute: ledger => this.resolveStepRoute(ledger),
-      onAttempts: (ledger, ref, attempts) =>
+      onRunEnd: (ledger, ref, attempts) =>
         this.auditRecorder.noteAttempts(ledger, ref, attempts),
       onWasted: (ledger, tokens) => this.metrics.recordWasted(ledger, tokens),
       onSettled: (ledger, output) => this.metrics.recordSettled(ledger, output),
@@ -366,13 +369,15 @@
 
   /** Why the balancer should send nothing new here, if so. */
   private findReadyObstacle(): RadishyokeError | undefined {
-    return this.draining ? createDraining() : this.findObstacle();
+    return this.isDraining ? createDrainingError() : this.findObstacle();
   }
 
   /** Why a request is refused, if so. */
   private findObstacle(): RadishyokeError | undefined {
-    if (this.refusing) return createDraining();
-    const currency = this.log.assessCurrency(this.wiring.view());
+    if (this.isRefusing) return createDrainingError();
+    const currency = this.log.assessConfigFreshness(
+      this.wiring.describePeers(),
+    );
     if (currency.kind !== 'not_current') return this.findStateObstacle();
     return createError('not_current', `configuration: ${currency.reason}`);
   }
@@ -384,11 +389,11 @@
    */
   private findStateObstacle(): RadishyokeError | undefined {
     const isLogDown = this.log.health().outageSinceMs !== undefined;
-    if (this.log.wasStateRead || isLogDown) return undefined;
+    if (this.log.hasReadState || isLogDown) return undefined;
     return createError('not_current', 'steps and leases are being read');
   }
 }
 
-function createDraining(): RadishyokeError {
+function createDrainingError(): RadishyokeError {
   return createError('draining', undefined, {retryAfterMs: 0});
 }
--- a/packages/daemon/src/vm_metrics.ts
+++ b/packages/daemon/src/vm_metrics.ts
@@ -9,7 +9,7 @@
 import {measureStaleness} from '@radishyoke/shared/rollout';
 import type {AppRecord} from './apps/app_api.js';
 import type {FirstOutput, WorkStart} from './scheduling/dispatcher.js';
-import type {Route} from './rule_book.js';
+import type {Route} from './rule_registry.js';
 import type {StepEnd} from './steps/step_task.js';
 
 const FIRST_ATTEMPT = 1;
@@ -20,7 +20,7 @@
   readonly recorder = new RequestRecorder();
 
   /** Time in which trainers waited, by step. */
-  private readonly idleMs = new Map<string, number>();
+  private readonly idleMsByStep = new Map<string, number>();
 
   /** A rule was looked for. */
   recordRoute(facts: RuleFacts, route: Result<Route>): void {
@@ -74,21 +74,24 @@
   }
 
   /** Looks once in `everyMs` which of this VM's steps have their trainer wait. */
-  sampleIdle(ledgers: readonly StepLedger[], everyMs: number): void {
+  sampleTrainerIdle(ledgers: readonly StepLedger[], intervalMs: number): void {
     for (const {key, acknowledged, lastCursor} of ledgers) {
       if (acknowledged < lastCursor) continue;
-      this.idleMs.set(key, (this.idleMs.get(key) ?? 0) + everyMs);
+      this.idleMsByStep.set(
+        key,
+        (this.idleMsByStep.get(key) ?? 0) + intervalMs,
+      );
     }
   }
 
   /** `nowMs` is the log's time, as the opening is. */
-  recordStepEnd(ledger: StepLedger, end: StepEnd, nowMs: number): void {
-    const idleMs = this.idleMs.get(ledger.key) ?? 0;
-    this.idleMs.delete(ledger.key);
+  recordStepEnd(ledger: StepLedger, end: StepEnd, logNowMs: number): void {
+    const idleMs = this.idleMsByStep.get(ledger.key) ?? 0;
+    this.idleMsByStep.delete(ledger.key);
     if (end === 'lost' || end === 'left') return;
     const {tenant, openedAtMs} = ledger.opening;
     this.registry.recordValue('trainer_idle', tenant, 'rollout', idleMs);
-    const durationMs = nowMs - openedAtMs;
+    const durationMs = logNowMs - openedAtMs;
     this.registry.recordValue('step_duration', tenant, 'rollout', durationMs);
   }
 }
