--- a/packages/daemon/src/__tests__/deployment_fixture.ts
+++ b/packages/daemon/src/__tests__/deployment_fixture.ts
@@ -1,4 +1,4 @@
-/** A small deployment over real sockets for tests of whole VMs. */
+/** A small deployment over real sockets for tests of complete VMs. */
 
 import {TrainerClient} from '@radishyoke/client/trainer_client';
 import {
@@ -67,7 +67,10 @@
   readonly standIns: StandIns;
   readonly vms: readonly Vm[];
   readonly origins: readonly string[];
-  /** Starts one more VM; resolves with its origin, ready or not. */
+  /**
+   * Starts one more VM; resolves with its origin without waiting until it is
+   * ready.
+   */
   addVm(): Promise<string>;
   createClient(origins?: readonly string[]): TrainerClient;
   close(): Promise<void>;
@@ -94,7 +97,9 @@
   };
 }
 
-/** Starts `vmCount` VMs before three engines and two plain services. */
+/**
+ * Starts three engines, two plain services and `vmCount` VMs in front of them.
+ */
 export async function startDeployment(vmCount: number): Promise<Deployment> {
   const standIns = await startStandIns({
     model: 'drafts',
@@ -142,7 +147,7 @@
   };
 }
 
-/** A step of `groups` groups with four samples each. */
+/** Creates a step request of `groups` groups with four samples each. */
 export function createStepRequest(groups: number): StepRequest {
   return {
     model: 'drafts',
--- a/packages/daemon/src/__tests__/process_signals.spec.ts
+++ b/packages/daemon/src/__tests__/process_signals.spec.ts
@@ -2,10 +2,10 @@
 import test from 'ava';
 import {ProcessSignals} from '../process_signals.js';
 
-// A reload or an end that was asked for while a program loaded is forgotten.
-// 1. Signals come before there is anybody to act on them.
-// 2. The VM is built and listens.
-test('signals that came before somebody listens are handed over in their order', t => {
+// Guards against a reload or stop request that is lost while a program loads.
+// 1. Signals arrive before there is a listener.
+// 2. The VM is created and listens.
+test('signals received before there is a listener are delivered in order', t => {
   const source = new EventEmitter();
   const signals = new ProcessSignals(source);
   source.emit('SIGHUP');
--- a/packages/daemon/src/__tests__/serve.spec.ts
+++ b/packages/daemon/src/__tests__/serve.spec.ts
@@ -12,10 +12,11 @@
   return server;
 }
 
-// An operator starts a VM twice and gets a stack trace, or a process that hangs.
-// 1. The administration port is taken; the start throws half way.
-// Cause: nobody caught it, and the tasks begun before it went on.
-test('a VM whose port is taken says so and ends', async t => {
+// Guards against a stack trace or a hanging process when a VM is started twice.
+// 1. The administration port is in use, so the start throws halfway.
+// Cause: the error was not caught, and the tasks started before it kept
+// running.
+test('a VM whose port is in use exits with the failure code', async t => {
   const dir = await mkdtemp(path.join(tmpdir(), 'radishyoke-serve-'));
   t.teardown(() => rm(dir, {recursive: true}));
   const taken = await listenSomewhere();
@@ -29,7 +30,7 @@
   t.is(await runServe(file), 1);
 });
 
-test('settings with a mistake end the process with a code of their own', async t => {
+test('invalid settings end the process with an exit code of their own', async t => {
   const dir = await mkdtemp(path.join(tmpdir(), 'radishyoke-serve-'));
   t.teardown(() => rm(dir, {recursive: true}));
   const file = path.join(dir, 'settings.ini');
--- a/packages/daemon/src/__tests__/step_faults.spec.ts
+++ b/packages/daemon/src/__tests__/step_faults.spec.ts
@@ -14,7 +14,7 @@
 
 interface FaultCase {
   readonly name: string;
-  /** Brought about once the first rollout has arrived. */
+  /** Injects the fault; called once the first rollout has arrived. */
   readonly apply: (standIns: StandIns) => void | Promise<void>;
 }
 
@@ -33,11 +33,11 @@
     },
   },
   {
-    name: 'the log takes appends and loses the answers',
+    name: 'the log accepts appends and loses the answers',
     apply: ({log}) => log.faults.set({kind: 'lose_answers', next: 10}),
   },
   {
-    name: 'the log is out for longer than a session lasts',
+    name: 'the log is down for longer than a session is valid',
     apply: async ({log}) => {
       log.faults.set({kind: 'outage'});
       await sleep(1500);
@@ -45,7 +45,7 @@
     },
   },
   {
-    name: 'engines take requests and lose the answers',
+    name: 'engines accept requests and lose the answers',
     apply: standIns => {
       for (const {faults} of listEngines(standIns))
         faults.set({kind: 'lose_answers', next: 3, method: 'POST'});
@@ -53,13 +53,15 @@
   },
 ];
 
-// A step ends short, stalls, or hands a rollout over twice.
-// 1. A trainer has the first rollout of its step; the others are under way.
-// 2. The fault sets in, and the step goes on as far as it can.
-// Cause: an answer that did not come is taken for a refusal, or a silence for
-// a failure of the engine.
+// Guards against a step that ends incomplete, stalls, or delivers a rollout
+// twice.
+// 1. A trainer has the first rollout of its step; the others are being
+//    generated.
+// 2. The fault starts, and the step continues as far as it can.
+// Cause: a missing answer is treated as a refusal, or silence as a failure of
+// the engine.
 for (const c of FAULT_CASES)
-  test(`a step is whole and delivered once: ${c.name}`, async t => {
+  test(`a step is complete and each rollout is delivered once: ${c.name}`, async t => {
     const deployment = await startDeployment(2);
     t.teardown(() => deployment.close());
     const rollouts: Rollout[] = [];
--- a/packages/daemon/src/__tests__/vm.spec.ts
+++ b/packages/daemon/src/__tests__/vm.spec.ts
@@ -10,7 +10,7 @@
   startDeployment,
 } from './deployment_fixture.js';
 
-/** Runs a step to its end and returns what the trainer got, in order. */
+/** Runs a step to its end and returns the received rollouts in order. */
 async function collectStep(
   deployment: Deployment,
   groups: number,
@@ -36,7 +36,7 @@
   return new Set(rollouts.map(rollout => rollout.id)).size;
 }
 
-test('a step is delivered whole through a VM that does not own it', async t => {
+test('a step is delivered completely through a VM that does not own it', async t => {
   const deployment = await startDeployment(2);
   t.teardown(() => deployment.close());
   const [first, second] = deployment.origins;
@@ -52,11 +52,11 @@
   t.is(rollouts.length, 12);
 });
 
-// A trainer's step would end short or with a rollout twice.
-// 1. The VM that owns the step stops without a word after four rollouts.
+// Guards against a step that ends incomplete or delivers a rollout twice.
+// 1. The VM that owns the step crashes after four rollouts.
 // 2. The trainer connects to the other VM, which takes the step over.
-// Cause: what was committed, handed over and acknowledged lay in one process.
-test('another VM goes on with a step whose owner stopped', async t => {
+// Cause: only one process knew what was committed, delivered and acknowledged.
+test('another VM continues a step whose owner stopped', async t => {
   const deployment = await startDeployment(2);
   t.teardown(() => deployment.close());
   let stopped = false;
@@ -77,10 +77,10 @@
   t.is(countDistinct(rollouts), 32);
 });
 
-// A grower's note would be filed twice.
-// 1. The app sends a note and has no answer; it sends it again to another VM.
-// Cause: each VM knew only the requests that came to itself.
-test('a non-idempotent request with an id runs once over all VMs', async t => {
+// Guards against a non-idempotent request that runs twice.
+// 1. The app gets no answer and sends the request again to another VM.
+// Cause: each VM knew only the requests that it had received itself.
+test('a non-idempotent request with an id runs once across all VMs', async t => {
   const deployment = await startDeployment(2);
   t.teardown(() => deployment.close());
   const answers = await Promise.all(
@@ -105,10 +105,11 @@
   t.is(calls, 1);
 });
 
-// After a VM is replaced in an outage of the log, a part of all calls fails.
+// Guards against failing calls after a VM is replaced during an outage of the
+// log.
 // 1. The log goes down; a VM is replaced and can not read the configuration.
-// Cause: the log was the only place to have it from.
-test('a VM that starts while the log is down has its rules from peers', async t => {
+// Cause: the log was the only source of the configuration.
+test('a VM that starts while the log is down gets its rules from peers', async t => {
   const deployment = await startDeployment(2);
   t.teardown(() => deployment.close());
   deployment.standIns.log.faults.set({kind: 'outage'});
@@ -121,9 +122,11 @@
   t.is(res.headers.get(HEADERS.rule), 'notebook');
 });
 
-// A note can not be filed for an hour although the refusal said it never ran.
-// 1. No endpoint is reached; the caller is told that nothing ran.
-// 2. It sends the note again under the same id when the endpoints are back.
+// Guards against a request id that stays blocked for an hour although the
+// refusal said that the request had not run.
+// 1. No endpoint can be reached; the answer says that nothing ran.
+// 2. The caller sends the request again under the same id when endpoints are
+//    back.
 // Cause: the claim on the id outlived the refusal.
 test('a refused request with an id can be sent again', async t => {
   const deployment = await startDeployment(1);
@@ -165,10 +168,10 @@
   t.deepEqual(calls.sort(), [0, 1]);
 });
 
-// A teacher's request breaks off when a VM is replaced.
-// 1. A slow call is in flight; the VM is told to leave.
-// Cause: the process ended as soon as it was told to.
-test('a VM that drains finishes what is in flight', async t => {
+// Guards against requests that are cut off when a VM is replaced.
+// 1. A slow call is in flight when the VM is asked to drain.
+// Cause: the process ended immediately.
+test('a draining VM finishes the requests in flight', async t => {
   const deployment = await startDeployment(1);
   t.teardown(() => deployment.close());
   for (const service of deployment.standIns.services.values()) {
@@ -184,10 +187,10 @@
   t.is(report.appsLeft, 0);
 });
 
-// A step stalls or loses samples when an engine's process dies.
-// 1. An engine crashes after 150 tokens, with several samples on it.
-// Cause: a broken stream was taken for a finished or a lost sample.
-test('samples of a crashed engine are finished elsewhere', async t => {
+// Guards against a step that stalls or loses samples when an engine crashes.
+// 1. An engine crashes after 150 tokens while it runs several samples.
+// Cause: a broken stream was treated as a finished or a lost sample.
+test('samples of a crashed engine are finished on other engines', async t => {
   const deployment = await startDeployment(1);
   t.teardown(() => deployment.close());
   const [engine] = deployment.standIns.engines.values();
@@ -198,10 +201,12 @@
   t.is(rollouts.length, 24);
 });
 
-// A trainer with too large a step sees a broken connection and no reason.
-// 1. The body is over the limit; the VM stops reading and closes.
-// Cause: the reset overtakes the refusal.
-test('a body over the limit gets its refusal', async t => {
+// Guards against a trainer that sees only a broken connection when its step is
+// too large.
+// 1. The body is over the limit; the VM stops reading and closes the
+//    connection.
+// Cause: the connection reset arrives before the refusal.
+test('a body over the limit is refused with an answer', async t => {
   const deployment = await startDeployment(1);
   t.teardown(() => deployment.close());
   const res = await fetch(`${deployment.origins[0]}/v1/steps/large`, {
@@ -262,7 +267,7 @@
     error: 'not_found',
   },
   {
-    name: 'a mark that is neither true nor false',
+    name: 'a non-idempotent header that is neither true nor false',
     path: '/lessons',
     init: {headers: {...notebook, [HEADERS.nonIdempotent]: 'perhaps'}},
     status: 400,
@@ -270,7 +275,7 @@
   },
 ];
 
-test('refuses what it can not take and says that nothing ran', async t => {
+test('refuses invalid requests and answers that nothing ran', async t => {
   const deployment = await startDeployment(1);
   t.teardown(() => deployment.close());
   for (const {name, path, init, status, error} of refusalCases) {
--- a/packages/daemon/src/__tests__/vm_audit.spec.ts
+++ b/packages/daemon/src/__tests__/vm_audit.spec.ts
@@ -23,9 +23,9 @@
   return answer.records as Array<LoggedRecord<AuditBlock>>;
 }
 
-// An auditor asks which weights and which rule made a rollout, and the audit has
-// no entry of it, or one that names another text than the trainer got.
-test('the audit of a step names what the trainer got, and is whole', async t => {
+// Guards against an audit that has no entry for a rollout, or names other weights
+// than those that generated what the trainer received.
+test('the audit of a step is complete and names what the trainer received', async t => {
   const deployment = await startDeployment(1);
   t.teardown(() => deployment.close());
   const received = new Map<string, number>();
@@ -51,17 +51,18 @@
   for (const [id, weightVersion] of received) {
     const [entry, ...more] = entries.filter(e => concernsSubject(e, id));
     t.deepEqual(more, []);
-    if (entry?.kind !== 'rollout') return t.fail(`no entry of ${id}`);
+    if (entry?.kind !== 'rollout') return t.fail(`no entry for ${id}`);
     const winner = entry.attempts.find(a => a.end === 'finished');
     t.is(winner?.spans.at(-1)?.weightVersion, weightVersion);
     t.true(entry.configVersion >= 0 && entry.rule !== '');
   }
 });
 
-// An auditor sees one attempt where a request was tried at two endpoints.
-// 1. The first endpoint is not reached; the request goes to the other.
-// Cause: only the last attempt was kept.
-test('the audit of a request names every attempt and its end', async t => {
+// Guards against an audit that shows one attempt for a request that had two.
+// 1. The first endpoint can not be reached; the request is sent to the other
+//    one.
+// Cause: only the last attempt was stored.
+test('the audit of a request names every attempt and how it ended', async t => {
   const deployment = await startDeployment(1);
   t.teardown(() => deployment.close());
   const [down] = [...deployment.standIns.services.values()];
@@ -85,11 +86,13 @@
   t.true(retried.every(list => list[0] !== 'finished'));
 });
 
-// An auditor asks what became of an attempt whose engine crashed, and reads only
-// that another one won.
-// 1. An engine crashes with several samples on it; they go on elsewhere.
-// Cause: the entry was made from the log, which has the winner's end alone.
-test('the audit of a rollout names the end of the attempts that lost', async t => {
+// Guards against an audit that does not say how an attempt ended whose engine
+// crashed, only that another attempt won.
+// 1. An engine crashes while it runs several samples; other engines continue
+//    them.
+// Cause: the entry was created from the log, which records only the winner's
+// end.
+test('the audit of a rollout names how the losing attempts ended', async t => {
   const deployment = await startDeployment(1);
   t.teardown(() => deployment.close());
   const [engine] = deployment.standIns.engines.values();
--- a/packages/daemon/src/enable_roarr.ts
+++ b/packages/daemon/src/enable_roarr.ts
@@ -1,6 +1,6 @@
 /**
- * Turns `roarr` on. It reads this variable once, when it is loaded, and without
- * it every line is dropped; so this module must be imported before it.
+ * Enables `roarr`, which reads this variable once when it is loaded and drops
+ * every line without it. This module must therefore be imported first.
  */
 
 process.env['ROARR_LOG'] ??= 'true';
--- a/packages/daemon/src/log/__tests__/log_task.spec.ts
+++ b/packages/daemon/src/log/__tests__/log_task.spec.ts
@@ -14,7 +14,10 @@
 
 const LOG_RETENTION_MS = 3_600_000;
 
-/** A log with as many log tasks as `vms` names; all are ended with the test. */
+/**
+ * Starts a log and one log task per name in `vms`; all are closed with the
+ * test.
+ */
 async function createVms(t: ExecutionContext, vms: readonly string[]) {
   const log = await startFakeLog();
   t.teardown(() => log.close());
@@ -46,10 +49,10 @@
   return task;
 }
 
-/** A retention so short that a checkpoint is due at each tick. */
+/** A retention so short that a checkpoint is due at every tick. */
 const IMMEDIATE_CHECKPOINT_RETENTION_MS = 0;
 
-/** Waits until `done` holds after some change that `task` reports. */
+/** Waits until `done` returns true after a change that `task` emits. */
 async function waitFor(task: LogTask, done: () => boolean): Promise<void> {
   await task.changes.takeWhile(() => !done()).drain();
 }
@@ -60,11 +63,12 @@
   req: toRequestId('r1'),
 } as const;
 
-// A note is filed twice on a grower's record.
-// 1. A VM claims the request id; the log takes the record, its answer is lost.
-// 2. The VM takes that for a failure and gives the claim up, or counts its own
-//    second copy as a claim of somebody else.
-test('an append whose answer was lost stands once', async t => {
+// Guards against a request that runs twice.
+// 1. A VM claims the request id; the log stores the record, but its answer is
+//    lost.
+// 2. The VM treats that as a failure and drops the claim, or takes its own
+//    second copy for the claim of another VM.
+test('an append whose answer was lost takes effect once', async t => {
   const {log, tasks} = await createVms(t, ['a', 'b']);
   const [a, b] = tasks as [LogTask, LogTask];
   log.faults.set({kind: 'lose_answers', next: 2});
@@ -74,7 +78,7 @@
   t.true(second.ok && second.value.verdict.kind === 'void');
 });
 
-test('one of two VMs gets a lease, and the other after it was given back', async t => {
+test('of two VMs one gets a lease, and the other gets it after its release', async t => {
   const {tasks} = await createVms(t, ['a', 'b']);
   const claims = await Promise.all(tasks.map(task => task.claim('step:x/1')));
   t.deepEqual(claims.map(claim => claim.ok).sort(), [false, true]);
@@ -89,8 +93,9 @@
   t.false(loser.holds(held));
 });
 
-// An operator's change vanishes: two publish at once from the same version.
-test('of two operators one wins on every VM, the other is told', async t => {
+// Guards against a lost configuration change when two operators publish at the
+// same time, based on the same version.
+test('of two concurrent publications every VM accepts the same one and refuses the other', async t => {
   const {tasks} = await createVms(t, ['a', 'b']);
   const publication = {team: toTeamId('k'), basedOn: -1, author: 'op'};
   const outcomes = await Promise.all(
@@ -102,8 +107,9 @@
   t.deepEqual(versions[0], versions[1]);
 });
 
-// A VM that was cut off acts on what it remembers.
-test('an outage is told, survived, and shows in the health', async t => {
+// Guards against a VM that does not notice an outage of the log and acts on
+// stale state.
+test('an append survives an outage, which is reported as a change of health', async t => {
   const {log, tasks} = await createVms(t, ['a']);
   const [a] = tasks as [LogTask];
   const seen: string[] = [];
@@ -123,10 +129,10 @@
   t.is(seen[0], 'down');
 });
 
-// A note is filed twice, and a configuration is gone, a day after it was made.
+// Guards against a request that runs twice and a configuration that is lost.
 // 1. A request id is claimed and rules are published.
 // 2. The log's retention drops both records.
-// 3. A VM starts, reads what is left, and knows of neither.
+// 3. A VM starts, reads the remaining records, and has neither.
 test('a VM that starts after retention dropped records holds the same state', async t => {
   const {log, tasks} = await createVms(t, ['a']);
   const [a] = tasks as [LogTask];
--- a/packages/daemon/src/log/event_source.ts
+++ b/packages/daemon/src/log/event_source.ts
@@ -1,4 +1,4 @@
-/** A `most` stream that its owner feeds event by event. */
+/** A `most` stream whose owner emits the events. */
 
 import {type Scheduler, type Sink, Stream} from 'most';
 
@@ -7,7 +7,7 @@
   readonly scheduler: Scheduler;
 }
 
-/** Events reach every observer of `stream` in the turn in which they are emitted. */
+/** Delivers each event synchronously to every observer of `stream`. */
 export class EventSource<T> {
   readonly stream: Stream<T>;
   private readonly observers = new Set<Observer<T>>();
--- a/packages/daemon/src/log/lease_holder.ts
+++ b/packages/daemon/src/log/lease_holder.ts
@@ -1,4 +1,4 @@
-/** The leases of this VM: claims, its session, and whether it may act on them. */
+/** Claims and releases this VM's leases and keeps its session alive. */
 
 import type {StateFold} from '@radishyoke/core/ledger/state_fold';
 import type {JudgedRecord} from '@radishyoke/core/ledger/verdict';
@@ -26,10 +26,13 @@
   ) => Promise<Result<JudgedRecord<StateRecord>>>;
 }
 
-/** One instance a VM. */
+/** One instance per VM. */
 export class LeaseHolder {
   private readonly session: SessionTracker;
-  /** Leases that are claimed or about to be, though not read back yet. */
+  /**
+   * Leases claimed or being claimed, even if the claim has not been read back
+   * yet.
+   */
   private readonly requestedLeases = new Set<string>();
   private isRenewing = false;
   private isClosing = false;
@@ -61,17 +64,18 @@
     return fail(createError('not_owner', detail));
   }
 
-  /** Gives a lease back. */
+  /** Releases a lease. */
   async release(held: HeldLease): Promise<void> {
     this.requestedLeases.delete(held.lease);
     await this.options.append({kind: 'lease_released', ...held});
   }
 
   /**
-   * Whether this VM may act on the lease now: the log names it the holder under
-   * this number, and by its own clock no other can have followed yet. Between
-   * this answer and the act the VM can be paused; that is what fencing numbers
-   * in records, orders and the trainer's stream are for.
+   * Whether this VM may act on the lease now: the log names it as the holder
+   * under this fencing number, and by its own clock its session can not have
+   * expired. The VM can still be paused between this check and the action,
+   * which is why records, orders and the trainer's stream carry fencing
+   * numbers.
    */
   holds({lease, fencing}: HeldLease): boolean {
     return (
@@ -80,16 +84,21 @@
     );
   }
 
-  /** Gives back all leases at once, so that others need not wait for a lapse. */
+  /**
+   * Closes the session, which releases all leases at once, so that others need
+   * not wait for them to expire.
+   */
   async closeSession(): Promise<void> {
-    // A renewal that follows the closing would open the session again, and the
-    // leases would look held until it lapses.
+    // A renewal appended after the close would reopen the session, and the
+    // leases would appear held until it expires.
     this.isClosing = true;
     this.requestedLeases.clear();
     await this.options.append({kind: 'session_closed'});
   }
 
-  /** Renews the session when that is due and the VM owns something. */
+  /**
+   * Renews the session if a renewal is due and this VM holds or claims a lease.
+   */
   tick(): void {
     const ownKey = buildWriterKey(this.options);
     const needsSession =
@@ -99,7 +108,10 @@
       void this.renewSession();
   }
 
-  /** One renewal at a time: more would only fill the buffer in an outage. */
+  /**
+   * Runs one renewal at a time; more would only fill the writer's buffer in an
+   * outage.
+   */
   private async renewSession(): Promise<void> {
     if (this.isRenewing || this.isClosing) return;
     this.isRenewing = true;
--- a/packages/daemon/src/log/log_task.ts
+++ b/packages/daemon/src/log/log_task.ts
@@ -1,6 +1,7 @@
 /**
- * The task that owns this VM's side of the platform's log: one writer and one
- * reader a stream, the folds, and the VM's session. Everything else asks it.
+ * The task that owns this VM's access to the platform's log: one writer and one
+ * reader per stream, the folds, and the VM's session. All other code uses the
+ * log through it.
  */
 
 import {
@@ -52,18 +53,20 @@
   readonly vm: VmId;
   readonly incarnation: IncarnationId;
   readonly session: SessionTiming;
-  /** Appends a second that all VMs together may make. */
+  /** Appends per second allowed for all VMs together. */
   readonly deploymentAppendsPerSecond: number;
   readonly claimHorizonMs: number;
-  /** How long the log keeps a record, as its operators state it. */
+  /** How long the log retains a record, according to its operators. */
   readonly logRetentionMs: number;
-  /** How long this VM trusts its configuration while the log is down for all. */
+  /**
+   * How long the configuration stays valid while the log is down for all VMs.
+   */
   readonly notReadyAfterMs?: number;
-  /** The same check on every VM, or they would disagree on versions. */
+  /** Must be the same check on every VM, or they would disagree on versions. */
   readonly checkConfig: CheckConfig;
 }
 
-/** What the task tells those who observe `changes`. */
+/** An event of the stream `changes`. */
 export type LogChange =
   | {readonly kind: 'state'; readonly judged: JudgedRecord<StateRecord>}
   | {
@@ -71,43 +74,50 @@
       readonly record: LoggedRecord<ConfigRecord>;
       readonly outcome: ConfigOutcome;
     }
-  /** The folds were replaced: look at all of them anew. */
+  /** The folds were replaced; everything derived from them is stale. */
   | {readonly kind: 'reset'}
   | {readonly kind: 'health'; readonly health: LogHealth};
 
-/** How this VM stands with the log. */
+/** State of this VM's access to the log. */
 export interface LogHealth {
-  /** Unix ms of the last read that succeeded; 0 for none. */
+  /** Unix ms of the last successful read; 0 if there was none. */
   readonly lastReadAtMs: number;
-  /** Unix ms since which reads fail; undefined when they do not. */
+  /** Unix ms since which reads have failed; undefined while they succeed. */
   readonly outageSinceMs: number | undefined;
-  /** Whether all records that the log had were read, on each stream. */
+  /**
+   * Whether all records that the log had at the last read are folded, on both
+   * streams.
+   */
   readonly caughtUp: boolean;
-  /** Whether the start of a stream was dropped and no checkpoint was found. */
+  /**
+   * Whether a stream's first records are gone and no checkpoint has been found
+   * yet.
+   */
   readonly seeking: boolean;
   readonly stateNext: number;
   readonly configNext: number;
   readonly pending: number;
 }
 
-/** What this VM hears of the others, for judging its own configuration. */
+/** What this VM knows about the others, for assessing its own configuration. */
 export interface PeerView {
-  /** Live VMs by the VM list, this one left out. */
+  /** Number of live VMs on the VM list, excluding this one. */
   readonly otherVmCount: number;
+  /** VMs that the membership considers live, excluding this one. */
   readonly livePeers: readonly VmId[];
-  /** Greatest `config` offset that any VM told of. */
+  /** Highest next offset of stream `config` that any VM has reported. */
   readonly highestConfigNext: number;
 }
 
-/** How often due renewals are looked for. */
+/** Interval at which session renewals and checkpoints are checked. */
 const TICK_INTERVAL_MS = 250;
 
 type StateWriter = LogWriter<StateRecord, JudgedRecord<StateRecord>>;
 type ConfigWriter = LogWriter<ConfigRecord, ConfigOutcome>;
 
-/** One instance a VM. */
+/** One instance per VM. */
 export class LogTask {
-  /** This VM's share of appends, over all of its streams. */
+  /** This VM's share of the append rate, over all streams. */
   readonly budget: AppendBudget;
   private readonly stateWriter: StateWriter;
   private readonly configWriter: ConfigWriter;
@@ -178,7 +188,10 @@
     );
   }
 
-  /** The folded stream `state`; read only, and only until the next turn. */
+  /**
+   * The folded stream `state`. Callers must not modify it or keep it across
+   * turns.
+   */
   get state(): StateFold {
     return this.stateFold;
   }
@@ -188,7 +201,7 @@
     return this.configHistory;
   }
 
-  /** Folded changes, in the order of the log. */
+  /** Changes to the folds in log order, and changes of the log's health. */
   get changes(): Stream<LogChange> {
     return this.changeSource.stream;
   }
@@ -199,7 +212,10 @@
     this.timer = setInterval(() => this.tick(), TICK_INTERVAL_MS);
   }
 
-  /** Stops at once; leases lapse by themselves. Call `leave` before to end well. */
+  /**
+   * Stops at once and lets the leases expire. For a clean end, call
+   * `closeSession` first.
+   */
   stop(): void {
     clearInterval(this.timer);
     this.stateFollower.stop();
@@ -209,24 +225,33 @@
     this.changeSource.end();
   }
 
-  /** Gives back all leases at once, so that others need not wait for a lapse. */
+  /**
+   * Closes the session, which releases all leases at once, so that others need
+   * not wait for them to expire.
+   */
   closeSession(): Promise<void> {
     return this.leaseHolder.closeSession();
   }
 
-  /** Live VMs share the deployment's budget of appends evenly. */
+  /**
+   * Sets the number of live VMs, which share the deployment's append rate
+   * evenly.
+   */
   setLiveVms(count: number): void {
     const share = this.cfg.deploymentAppendsPerSecond / Math.max(1, count);
     this.budget.setAppendsPerSecond(share);
   }
 
-  /** Appends a record; resolves when it is read back and judged. */
+  /** Appends a record; resolves when it has been read back and judged. */
   append(body: StateBody): Promise<Result<JudgedRecord<StateRecord>>> {
     this.stateFollower.hurry();
     return this.stateWriter.append(body);
   }
 
-  /** Publishes a configuration; resolves when the log has decided on it. */
+  /**
+   * Publishes a configuration; resolves with the outcome once it has been read
+   * back.
+   */
   publish(publication: {
     readonly team: TeamId;
     readonly basedOn: number;
@@ -245,12 +270,12 @@
     return this.leaseHolder.claim(lease);
   }
 
-  /** Whether a record or a lease is of this life of this VM. */
+  /** Whether a record or lease belongs to this incarnation of this VM. */
   isOwn(stamp: Pick<Stamp, 'vm' | 'incarnation'>): boolean {
     return buildWriterKey(stamp) === buildWriterKey(this.cfg);
   }
 
-  /** Gives a lease back. */
+  /** Releases a lease. */
   release(held: HeldLease): Promise<void> {
     return this.leaseHolder.release(held);
   }
@@ -260,17 +285,24 @@
     return this.leaseHolder.holds(held);
   }
 
-  /** Log time as far as this VM can tell, for judging whether leases lapsed. */
+  /**
+   * Estimates the current log time, for deciding whether leases have expired.
+   */
   estimateLogNowMs(): number {
     return this.stateFollower.estimateLogNowMs();
   }
 
-  /** What a VM needs that lacks the `config` records from `offset` on. */
+  /**
+   * Exports what a VM needs that lacks the `config` records from `offset` on.
+   */
   exportConfig(offset: number): ConfigTransfer {
     return this.configHistory.exportRecords(offset);
   }
 
-  /** Takes `config` records from another VM; returns whether they were news. */
+  /**
+   * Applies `config` records from another VM; returns whether any of them were
+   * new.
+   */
   importConfig(transfer: ConfigTransfer): boolean {
     const previousNext = this.configHistory.next;
     const applied = this.configHistory.importRecords(transfer);
@@ -290,14 +322,16 @@
   }
 
   /**
-   * Whether `state` was read to its end since the start. Before that, a step
-   * that is not found may well exist.
+   * Whether `state` has been read to its end since the start. Before that, a
+   * step that is not found may still exist.
    */
   get hasReadState(): boolean {
     return this.stateFollower.status().hasBeenCaughtUp;
   }
 
-  /** Whether this VM can know that its configuration is the one in force. */
+  /**
+   * Assesses whether this VM's configuration is known to be the one in force.
+   */
   assessConfigFreshness({
     otherVmCount,
     livePeers,
@@ -363,7 +397,8 @@
           snapshot: snapshot as ConfigSnapshot,
         });
       },
-      // A configuration counts for ever, so nothing can stand for a lost one.
+      // Configurations never expire, so a lost one can not be replaced by an
+      // empty state.
       startEmpty: () => false,
     };
   }
--- a/packages/daemon/src/log/session_tracker.ts
+++ b/packages/daemon/src/log/session_tracker.ts
@@ -1,8 +1,11 @@
-/** Whether this VM may still believe in its own leases, by its own clock. */
+/**
+ * Tracks, by this VM's own clock, whether its session and thereby its leases
+ * are valid.
+ */
 
-/** Timing of sessions; equal on all VMs. */
+/** Timing of sessions; it must be the same on all VMs. */
 export interface SessionTiming {
-  /** Log time without renewal after which the leases of a VM lapse. */
+  /** Log time without a renewal after which the leases of a VM expire. */
   readonly ttlMs: number;
   readonly renewalMs: number;
 }
@@ -12,14 +15,17 @@
   renewalMs: 2000,
 };
 
-/** Part of the ttl that a holder leaves for clocks that run at unlike rates. */
+/**
+ * Share of the TTL that a holder does not use, because clocks run at different
+ * rates.
+ */
 const CLOCK_RATE_MARGIN = 0.1;
 
 /**
- * Counts from the moment at which a renewal was handed to the writer, on the
- * monotonic clock: the log took the record later than that, so the session lasts
- * at least as long by the log's clock as by this count. A VM that was paused or
- * cut off from the log sees here that others may hold its leases by now.
+ * Measures on the monotonic clock from the moment a renewal is passed to the
+ * writer. The log accepts the record later than that, so the session lasts at
+ * least as long by the log's clock. A VM that was paused or cut off from the
+ * log sees here that other VMs may hold its leases by now.
  */
 export class SessionTracker {
   private renewedAtMs = -Infinity;
@@ -32,22 +38,25 @@
     return monotonicMs - this.requestedAtMs >= this.timing.renewalMs;
   }
 
-  /** A renewal is being handed to the writer. */
+  /** Records that a renewal is being passed to the writer. */
   markRequested(monotonicMs: number): void {
     this.requestedAtMs = monotonicMs;
   }
 
-  /** The renewal asked for at `askedAtMs` was read back. */
+  /** Records that the renewal requested at `requestedAtMs` was read back. */
   markConfirmed(requestedAtMs: number): void {
     this.renewedAtMs = Math.max(this.renewedAtMs, requestedAtMs);
   }
 
-  /** Whether no other VM can hold this VM's leases yet. */
+  /**
+   * Whether the session is valid, so that no other VM can hold this VM's
+   * leases.
+   */
   isValid(monotonicMs: number): boolean {
     return monotonicMs < this.validUntilMs();
   }
 
-  /** On the monotonic clock. */
+  /** Returns the end of the session's validity, ms on the monotonic clock. */
   validUntilMs(): number {
     return this.renewedAtMs + this.timing.ttlMs * (1 - CLOCK_RATE_MARGIN);
   }
--- a/packages/daemon/src/log/stream_follower.ts
+++ b/packages/daemon/src/log/stream_follower.ts
@@ -1,6 +1,6 @@
 /**
- * Follows one stream of the log and keeps its fold: from the first record, or,
- * where retention dropped that, from the first whole checkpoint.
+ * Follows one stream of the log and feeds its fold, starting at the first
+ * record or, if retention has dropped that, at the first complete checkpoint.
  */
 
 import {
@@ -17,42 +17,48 @@
   StreamName,
 } from '@radishyoke/shared/log_record';
 
-/** What a follower asks of the owner of the fold that it feeds. */
+/** Access of a follower to the fold that it feeds. */
 export interface FoldPort<T> {
   /** Offset of the next record to apply. */
   next(): number;
-  /** Adjusted log time at the last record. */
+  /** Adjusted log time of the last record. */
   nowMs(): number;
   apply(record: LoggedRecord<T>): void;
-  /** Replaces the folded state by a snapshot's. */
+  /** Replaces the folded state by that of a snapshot. */
   restore(snapshot: unknown): void;
   /**
-   * Starts over with nothing at offset `oldest`, if all that the dropped records
-   * can have left is outdated after `windowMs`; returns whether it did.
+   * Restarts with an empty state at offset `oldest` if everything that the
+   * dropped records can have produced has expired after `windowMs`. Returns
+   * whether it did.
    */
   startEmpty(oldest: number, windowMs: number): boolean;
-  /** Whether somebody waits for a record of this stream to be read back. */
+  /**
+   * Whether a caller is waiting for a record of this stream to be read back.
+   */
   isAwaited(): boolean;
 }
 
-/** How a follower stands with its stream. */
+/** State of a follower and its stream. */
 export interface FollowerStatus {
   readonly next: number;
-  /** Unix ms of the last read that succeeded; 0 for none. */
+  /** Unix ms of the last successful read; 0 if there was none. */
   readonly lastReadAtMs: number;
-  /** As `lastReadAtMs`, on the monotonic clock. */
+  /** Same as `lastReadAtMs`, on the monotonic clock. */
   readonly lastReadMonotonicMs: number;
-  /** Unix ms since which reads fail. */
+  /** Unix ms since which reads have failed; undefined while they succeed. */
   readonly failingSinceMs: number | undefined;
-  /** Whether all records that the log had were read and folded. */
+  /** Whether all records that the log had at the last read are folded. */
   readonly caughtUp: boolean;
-  /** Whether that was ever so since the start of this VM. */
+  /** Whether `caughtUp` has been true at least once since this VM started. */
   readonly hasBeenCaughtUp: boolean;
-  /** Whether the start of the state is missing and no checkpoint was found. */
+  /**
+   * Whether the stream's first records are gone and no checkpoint has been
+   * found yet.
+   */
   readonly seeking: boolean;
 }
 
-/** One stream's reader with its fold. */
+/** Reads one stream and applies its records to a fold. */
 export class StreamFollower<T extends object> {
   private readonly reader: LogReader<T>;
   private assembler = new CheckpointAssembler();
@@ -67,12 +73,14 @@
   private lastRecordAtMs = 0;
   private failingSinceMs: number | undefined;
   private frozenAtMs = 0;
-  /** On the monotonic clock. */
+  /** End of the grace period after an outage, on the monotonic clock. */
   private graceUntilMs = -Infinity;
   private checkpointAsOf = 0;
   private checkpointTimeMs: number | undefined;
 
-  /** `onHealth` is called when reads begin to fail or succeed again. */
+  /**
+   * `onHealth` is called when reads start to fail and when they succeed again.
+   */
   constructor(
     client: LogClient,
     readonly stream: StreamName,
@@ -101,12 +109,18 @@
     this.reader.stop();
   }
 
-  /** Somebody waits for a record to be read back. */
+  /**
+   * Reads without delay, because a caller is waiting for a record to be read
+   * back.
+   */
   hurry(): void {
     this.reader.hurry();
   }
 
-  /** The fold was moved on by other means: reads go on from where it is. */
+  /**
+   * Continues reading at the position of the fold after it was advanced by
+   * other means.
+   */
   moveToFold(): void {
     this.seeking = false;
     this.reader.moveTo(this.fold.next());
@@ -125,11 +139,11 @@
   }
 
   /**
-   * Log time as far as this VM can tell: the last record's and the time since.
-   * In an outage every session lapses by the log's time. Taken at its word, the
-   * VMs would claim one another's leases as soon as the log is back, from
-   * holders that are well. So the estimate stands still while reads fail and for
-   * `graceMs` after, in which holders renew.
+   * Estimates the current log time from the last record and the time since it
+   * was read. During an outage no session can be renewed, so by the log's time
+   * all of them expire, and the VMs would claim leases of healthy holders once
+   * the log is back. The estimate therefore does not advance while reads fail
+   * and for `graceMs` afterwards, in which holders renew.
    */
   estimateLogNowMs(): number {
     const estimateMs = this.estimateUnfrozenMs();
@@ -138,7 +152,7 @@
     return isFrozen ? Math.min(estimateMs, this.frozenAtMs) : estimateMs;
   }
 
-  /** Whether this VM should now write a checkpoint of the stream. */
+  /** Whether this VM should write a checkpoint of the stream now. */
   isCheckpointDue(timing: CheckpointTiming): boolean {
     const {caughtUp} = this.status();
     if (!caughtUp || this.checkpointTimeMs === undefined) return false;
@@ -154,6 +168,7 @@
     );
   }
 
+  /** Estimates the log time without regard to outages. */
   private estimateUnfrozenMs(): number {
     return this.fold.nowMs() + Math.max(0, Date.now() - this.lastRecordAtMs);
   }
@@ -200,10 +215,10 @@
   }
 
   /**
-   * Retention dropped records that this VM has not folded. Going on with what is
-   * left would give this VM another state than the others have, which shows as
-   * two owners of a step. So it folds nothing before it has a snapshot whose
-   * later records are all still there.
+   * Handles records that retention dropped before this VM folded them. Folding
+   * only the remaining records would give this VM a different state from the
+   * others, for example two owners of a step. So it folds nothing until it has
+   * a snapshot after which no record is missing.
    */
   private seekCheckpoint(oldest: number): number {
     this.seeking = true;
--- a/packages/daemon/src/logger.ts
+++ b/packages/daemon/src/logger.ts
@@ -1,4 +1,4 @@
-/** Structured logs: JSON lines on standard output by `roarr`. */
+/** Structured logging: `roarr` writes JSON lines to standard output. */
 
 import './enable_roarr.js';
 import {ROARR, Roarr} from 'roarr';
@@ -6,7 +6,7 @@
 
 export type LogLevel = 'debug' | 'info' | 'warn' | 'error';
 
-/** Weights of the levels, as `roarr` orders them. */
+/** Weights of the levels as in `roarr`. */
 const levelWeights: Readonly<Record<LogLevel, number>> = {
   debug: 20,
   info: 30,
@@ -14,7 +14,10 @@
   error: 50,
 };
 
-/** Fields of a log line; those known are on every line of a request. */
+/**
+ * Fields of a log line. Lines about a request carry all named fields that are
+ * known.
+ */
 export interface LogFields {
   readonly requestId?: string;
   readonly stepId?: string;
@@ -29,7 +32,9 @@
   log(level: LogLevel, message: string, fields?: LogFields): void;
 }
 
-/** A logger that takes the lines of the closed list only. */
+/**
+ * A logger that accepts only the events and fields listed in `LogEventFields`.
+ */
 export interface EventLogger {
   log<E extends LogEventName>(
     level: LogLevel,
@@ -38,7 +43,10 @@
   ): void;
 }
 
-/** Creates a logger that drops lines below `level` and hands others to `write`. */
+/**
+ * Creates a logger that drops lines below `level` and passes the others to
+ * `write`.
+ */
 export function createLogger(
   level: LogLevel,
   base: LogFields,
@@ -54,5 +62,5 @@
   };
 }
 
-/** A logger that writes nothing, for tests and embedding. */
+/** A logger that drops all lines, for tests and embedding. */
 export const silentLogger: Logger = {log: () => undefined};
--- a/packages/daemon/src/mailbox.ts
+++ b/packages/daemon/src/mailbox.ts
@@ -1,18 +1,23 @@
-/** Mailboxes: how tasks send each other messages, as `most` streams. */
+/**
+ * Mailboxes through which tasks send messages to each other as `most` streams.
+ */
 
 import {EventEmitter} from 'node:events';
 import {fromEvent, Stream} from 'most';
 
 const messageEvent = 'message';
 
-/** A queue with one stream of what is posted to it. */
+/** A message queue that is read as a stream. */
 export interface Mailbox<T> {
   readonly messages: Stream<T>;
-  /** Delivers `message` to all present observers, in order of posting. */
+  /** Delivers `message` to all current observers, in the order of posting. */
   post(message: T): void;
 }
 
-/** Creates a mailbox. Posting while a message is handled queues behind it. */
+/**
+ * Creates a mailbox. A message posted while another is handled is delivered
+ * after it.
+ */
 export function createMailbox<T>(): Mailbox<T> {
   const emitter = new EventEmitter();
   const queue: T[] = [];
--- a/packages/daemon/src/peers/__tests__/peer_task.spec.ts
+++ b/packages/daemon/src/peers/__tests__/peer_task.spec.ts
@@ -26,7 +26,7 @@
 interface TaskFixture {
   readonly task: PeerTask;
   readonly events: PeerEvent[];
-  /** Resolves once an event, past or to come, passes `test`. */
+  /** Resolves once any past or future event passes `test`. */
   readonly until: (test: (event: PeerEvent) => boolean) => Promise<void>;
 }
 
@@ -69,7 +69,7 @@
 const countsVms = (count: number) => (event: PeerEvent) =>
   event.kind === 'vms' && event.vms.length === count;
 
-test('VMs that know one seed find one another and share news', async t => {
+test('VMs that know one seed find one another and exchange updates', async t => {
   const transfer: ConfigTransfer = {kind: 'records', records: [RECORD]};
   const first = await createTask(0, {exportConfig: () => transfer});
   const seeds = [first.address];
@@ -101,9 +101,9 @@
   t.is(first.task.counters.malformed, 0);
 });
 
-// A VM dies without a word and another takes its name and address list place.
-// The others must drop its load, or its endpoints look busy for good.
-test('a VM that stops is failed and its restart is welcomed', async t => {
+// A VM stops without leaving, and a new process starts under the same name. The
+// other VMs must drop the old load, or its endpoints would look busy forever.
+test('the load of a stopped VM is dropped and its restart joins again', async t => {
   const first = await createTask(0);
   const second = await createTask(1, {seeds: [first.address]});
   await first.until(countsVms(2));
--- a/packages/daemon/src/peers/__tests__/peer_wiring.spec.ts
+++ b/packages/daemon/src/peers/__tests__/peer_wiring.spec.ts
@@ -4,7 +4,10 @@
 
 const OWN = {vm: 'a', incarnation: 'now'};
 
-/** A wiring whose log is told of crashes by `hear`; returns what its dispatcher is told. */
+/**
+ * Creates a wiring; `emitCrash` adds a crash to its log, `posted` lists what
+ * its dispatcher receives.
+ */
 function createWiring() {
   const observers: Array<(change: unknown) => void> = [];
   const posted: unknown[] = [];
@@ -31,21 +34,22 @@
   } as unknown as PeerWiringOptions;
   const wiring = new PeerWiring(options);
   wiring.start();
-  const hear = (stamp: typeof OWN) => {
+  const emitCrash = (stamp: typeof OWN) => {
     const value = {kind: 'crash_seen', stamp, fingerprints: ['f']};
     const change = {kind: 'state', judged: {record: {value}}};
     for (const observer of observers) observer(change);
   };
-  return {wiring, hear, posted};
+  return {wiring, emitCrash, posted};
 }
 
-// Guards against a VM that forgets with its process what crashed endpoints.
-test('a VM takes from the log what its own earlier life saw crash', t => {
-  const {wiring, hear, posted} = createWiring();
-  hear(OWN);
-  t.deepEqual(posted, [], 'what this life saw is known already');
-  hear({vm: 'a', incarnation: 'before'});
-  hear({vm: 'b', incarnation: 'now'});
+// Guards against a restarted VM that no longer knows which requests crashed
+// endpoints.
+test('a VM reads from the log the crashes that its earlier incarnation reported', t => {
+  const {wiring, emitCrash, posted} = createWiring();
+  emitCrash(OWN);
+  t.deepEqual(posted, [], 'crashes of this incarnation are not posted again');
+  emitCrash({vm: 'a', incarnation: 'before'});
+  emitCrash({vm: 'b', incarnation: 'now'});
   t.is(posted.length, 2);
   wiring.stop();
 });
--- a/packages/daemon/src/peers/peer_links.ts
+++ b/packages/daemon/src/peers/peer_links.ts
@@ -1,4 +1,4 @@
-/** The open connections to other VMs, by VM; opens them when there is need. */
+/** Manages the connections to other VMs and opens them on demand. */
 
 import type {GossipMessage} from '@radishyoke/core/membership/gossip_message';
 import type {Member} from '@radishyoke/core/membership/member';
@@ -11,11 +11,15 @@
 } from '@radishyoke/wire/peer_link';
 
 export interface PeerLinksHandler {
+  /** A connection to a VM was established, whichever side opened it. */
   linked(member: Member): void;
   received(from: VmId, message: GossipMessage): void;
 }
 
-/** Messages that wait for a connection to open; the oldest go first. */
+/**
+ * Maximum number of messages that wait for a connection to open; the oldest are
+ * dropped first.
+ */
 const MAX_WAITING_MESSAGES = 32;
 
 interface OpeningLink {
@@ -35,6 +39,7 @@
     private readonly handler: PeerLinksHandler,
   ) {}
 
+  /** Sends a message, opening a connection to `address` if there is none. */
   send(to: VmId, address: string, message: GossipMessage): void {
     const link = this.openLinks.get(to);
     if (link) return link.send(message);
@@ -43,13 +48,15 @@
     if (opening.waiting.length > MAX_WAITING_MESSAGES) opening.waiting.shift();
   }
 
-  /** Connects to an address whose VM is not known. */
+  /** Connects to an address of which the VM is not known yet. */
   dial(address: string): void {
     if (this.dialledLinks.has(address)) return;
     this.dialledLinks.set(address, openPeerLink(address, this.options, this));
   }
 
-  /** Ends the connections to a VM, so that the next message opens another. */
+  /**
+   * Closes the connections to a VM, so that the next message opens a new one.
+   */
   closeLinksTo(vm: VmId): void {
     this.openLinks.get(vm)?.close();
     this.openingLinks.get(vm)?.link.close();
--- a/packages/daemon/src/peers/peer_task.ts
+++ b/packages/daemon/src/peers/peer_task.ts
@@ -1,7 +1,7 @@
 /**
- * The task that owns the connections to other VMs and the membership state.
- * The rest of the daemon tells it what others should know, and hears on
- * `events` what others told.
+ * The task that owns the connections to other VMs and the membership state. The
+ * rest of the daemon publishes updates for the other VMs through it and
+ * receives theirs from `events`.
  */
 
 import type {ConfigTransfer} from '@radishyoke/core/rules/config_history';
@@ -20,9 +20,9 @@
 import {createMailbox, Mailbox} from '../mailbox.js';
 import {PeerLinks} from './peer_links.js';
 
-/** What the rest of the daemon hears. */
+/** What the rest of the daemon receives. */
 export type PeerEvent =
-  /** Serving VMs, this one included unless it leaves. */
+  /** Serving VMs, including this one unless it is leaving. */
   | {readonly kind: 'vms'; readonly vms: readonly VmId[]}
   | {
       readonly kind: 'peer_load';
@@ -32,10 +32,10 @@
   | {readonly kind: 'suspects'; readonly fingerprints: readonly string[]}
   | {readonly kind: 'silent_endpoint'; readonly endpoint: EndpointId}
   | {readonly kind: 'config_transfer'; readonly transfer: ConfigTransfer}
-  /** Greatest config offset that any VM told of. */
+  /** Highest next offset of stream `config` that any VM has reported. */
   | {readonly kind: 'config_seen'; readonly next: number};
 
-/** What the rest of the daemon may tell the other VMs. */
+/** What the rest of the daemon may publish to the other VMs. */
 export type PeerUpdate = Extract<
   MembershipEvent,
   {
@@ -52,21 +52,23 @@
 export interface PeerTaskConfig {
   readonly vm: VmId;
   readonly dataCentre: DataCentreId;
-  /** Where to listen, `ip:port`; port 0 takes a free one. */
+  /** Address to listen on, `ip:port`; port 0 selects a free port. */
   readonly peerAddress: string;
   readonly callerAddress: string;
   readonly seeds: readonly string[];
   readonly sharedKey: string;
   readonly maxMessageBytes: number;
-  /** Random bits. */
+  /** Seed of the membership's random choices. */
   readonly seed: number;
-  /** What a VM needs that lacks the config records from an offset on. */
+  /**
+   * Exports what a VM needs that lacks the config records from an offset on.
+   */
   readonly exportConfig: (from: number) => ConfigTransfer;
 }
 
 const TICK_INTERVAL_MS = 100;
 
-/** One instance a VM. */
+/** One instance per VM. */
 export class PeerTask {
   readonly counters = new PeerCounters();
   private readonly mailbox: Mailbox<PeerEvent> = createMailbox();
@@ -106,7 +108,9 @@
     return this.mailbox.messages;
   }
 
-  /** Listens and begins to look for others; resolves to the address taken. */
+  /**
+   * Listens and starts to discover other VMs; resolves with the bound address.
+   */
   async start(): Promise<string> {
     const peerAddress = await this.server.listen(this.cfg.peerAddress);
     this.self = {...this.self, peerAddress};
@@ -124,16 +128,17 @@
     return peerAddress;
   }
 
+  /** Passes an update on to the other VMs. */
   publish(update: PeerUpdate): void {
     this.handle(update);
   }
 
-  /** Every VM known, this one first. */
+  /** Lists all known VMs, this one first. */
   listMembers(): readonly Member[] {
     return this.membership?.listMembers() ?? [this.self];
   }
 
-  /** Ends all connections. Tell `leave` some time before. */
+  /** Closes all connections. `leave` should be published some time before. */
   async stop(): Promise<void> {
     clearInterval(this.timer);
     this.membership = undefined;
--- a/packages/daemon/src/peers/peer_wiring.ts
+++ b/packages/daemon/src/peers/peer_wiring.ts
@@ -1,6 +1,7 @@
 /**
- * What a VM tells its peers and does with what they tell: load, crashes,
- * configuration and which VMs live.
+ * Connects the peer task to the other tasks of a VM: publishes load, crashes
+ * and configuration offsets to the peers and applies what they publish,
+ * including which VMs are live.
  */
 
 import type {VmInfo} from '@radishyoke/shared/endpoint';
@@ -11,7 +12,7 @@
 import type {PeerEvent, PeerTask} from './peer_task.js';
 import type {StepDirectory} from '../steps/step_directory.js';
 
-/** How often the other VMs are told what this one has in flight, ms. */
+/** Interval at which this VM publishes its work in flight, ms. */
 const loadReportIntervalMs = 500;
 
 export interface PeerWiringOptions {
@@ -25,9 +26,9 @@
 
 export class PeerWiring {
   private timer: NodeJS.Timeout | undefined;
-  /** Highest offset of the configuration that any peer told. */
+  /** Highest next offset of stream `config` that any peer has reported. */
   private highestConfigNext = 0;
-  /** VMs that the membership counts as live, this one left out. */
+  /** VMs that the membership considers live, excluding this one. */
   private livePeers: readonly VmId[] = [];
 
   constructor(private readonly options: PeerWiringOptions) {}
@@ -45,7 +46,7 @@
       peers.publish({kind: 'own_suspects', fingerprints});
       void log.append({kind: 'crash_seen', endpoint, fingerprints});
     });
-    // A crash that the peers' messages lost is still found in the log.
+    // A crash whose peer message was lost is still read from the log.
     void log.changes.observe(change => {
       if (change.kind !== 'state') return;
       const {value} = change.judged.record;
@@ -65,7 +66,10 @@
     clearInterval(this.timer);
   }
 
-  /** What is known of the other VMs, for judging whether this one is current. */
+  /**
+   * Describes the other VMs, for assessing whether this VM's configuration is
+   * current.
+   */
   describePeers(): PeerView {
     const {endpoints, vm} = this.options;
     const others = endpoints
@@ -78,11 +82,11 @@
     };
   }
 
-  /** `ip:port` of another VM's caller listener. */
+  /** Returns the `ip:port` on which another VM listens for callers. */
   findCallerAddress(id: VmId): string | undefined {
     const {endpoints, peers} = this.options;
     const isIt = (entry: Pick<VmInfo, 'id'>) => entry.id === id;
-    // The VM list lags: a VM that owns a step already may not be on it yet.
+    // The VM list lags behind: a VM that owns a step may not be on it yet.
     const entry =
       endpoints.listVms().find(isIt) ?? peers.listMembers().find(isIt);
     return entry?.callerAddress;
@@ -103,7 +107,8 @@
         this.highestConfigNext = event.next;
         return;
       case 'silent_endpoint':
-        // Connections of this VM's own may be well; its attempts tell.
+        // Ignored: this VM's own connections to the endpoint may still work, and
+        // its own attempts show whether they do.
         return;
     }
   }
--- a/packages/daemon/src/process_signals.ts
+++ b/packages/daemon/src/process_signals.ts
@@ -1,23 +1,27 @@
 /**
- * The signals of a supervisor, held from the first statement of a program on
- * and handed to whoever runs the VM.
+ * Captures the signals of a supervisor from the first statement of a program on
+ * and passes them to the code that runs the VM.
  *
- * A signal without a handler ends a process. It shows as a VM that was just
- * started and ends when its platform tells it of changed settings; callers miss
- * it for one more start. A program therefore calls `holdSignals` before anything
- * else is evaluated, and loads the rest by `import()`: imports at its top would
- * be evaluated first. What came before somebody listens is kept for them, so
- * that no reload is missed.
+ * A signal without a handler ends the process. A VM that has just started would
+ * end when its platform signals changed settings, and callers would miss it
+ * until it has started again. A program therefore calls `captureSignals` before
+ * anything else is evaluated and loads the rest with `import()`, since static
+ * imports would be evaluated first. Signals that arrive before there is a
+ * listener are queued for it, so that no reload is missed.
  *
- * What is left is the start of Node.js, in which no code of ours runs.
+ * Signals during the startup of Node.js itself can not be captured, because
+ * none of this code has run by then.
  */
 
-/** What a supervisor sends: two ways to ask for the end, and one for settings that changed. */
+/**
+ * Signals of a supervisor: SIGTERM and SIGINT request the end, SIGHUP a reload
+ * of the settings.
+ */
 export type ProcessSignal = 'SIGTERM' | 'SIGINT' | 'SIGHUP';
 
 export type SignalListener = (signal: ProcessSignal) => void;
 
-/** Where signals come from: `process`, or an emitter of a test. */
+/** Source of signals: `process`, or an emitter in tests. */
 export interface SignalSource {
   on(signal: ProcessSignal, listener: () => void): unknown;
 }
@@ -33,7 +37,10 @@
       source.on(signal, () => this.onSignal(signal));
   }
 
-  /** Hands over the signals that came so far, in their order, and each that comes. */
+  /**
+   * Passes the queued signals to `listener` in order of arrival, then each new
+   * one.
+   */
   listen(listener: SignalListener): void {
     this.listener = listener;
     for (const signal of this.pending.splice(0)) listener(signal);
@@ -47,7 +54,9 @@
 
 let processSignals: ProcessSignals | undefined;
 
-/** The signals of this process; the first call installs the handlers. */
+/**
+ * Returns the signals of this process; the first call installs the handlers.
+ */
 export function captureSignals(): ProcessSignals {
   processSignals ??= new ProcessSignals(process);
   return processSignals;
--- a/packages/daemon/src/rule_registry.ts
+++ b/packages/daemon/src/rule_registry.ts
@@ -1,4 +1,7 @@
-/** The rules in force for each team, compiled once per version. */
+/**
+ * Looks up rules in the configuration in force for each team, compiled once per
+ * version.
+ */
 
 import type {ConfigHistory} from '@radishyoke/core/rules/config_history';
 import type {
@@ -17,7 +20,10 @@
 import type {TeamId, TenantId} from '@radishyoke/shared/ids';
 import {fail, Result, succeed} from '@radishyoke/shared/result';
 
-/** The rule that decides a request, and the version it stands in. */
+/**
+ * The rule that applies to a request, and the configuration version it comes
+ * from.
+ */
 export interface Route {
   readonly rule: string;
   readonly configVersion: number;
@@ -32,7 +38,7 @@
 
 const sourceName = 'published configuration';
 
-/** Told of each look-up of a rule. */
+/** Called with the result of each rule lookup. */
 export type RuleObserver = (facts: RuleFacts, route: Result<Route>) => void;
 
 export class RuleRegistry {
@@ -45,22 +51,31 @@
     private readonly platformTeam?: TeamId,
   ) {}
 
-  /** Team that answers for `tenant`. */
+  /** Returns the team that is responsible for `tenant`. */
   findTeam(tenant: TenantId): TeamId | undefined {
     return this.tenants.get(tenant);
   }
 
-  /** Finds the rule for a request; a refusal by rule is an error. */
+  /**
+   * Finds the rule for a request and reports the lookup. A refusal by a rule is
+   * an error.
+   */
   resolve(team: TeamId, facts: RuleFacts): Result<Route> {
     const route = this.findRoute(team, facts);
     this.onResolved(facts, route);
     return route;
   }
 
-  /** As `resolve`, but no request is counted. */
+  /**
+   * Same as `resolve`, but without reporting the lookup, so no request is
+   * counted.
+   */
   findRoute(team: TeamId, facts: RuleFacts): Result<Route> {
     const current = this.getCompiled(team);
-    if (!current) return fail(createError('not_current', 'no configuration'));
+    if (!current)
+      return fail(
+        createError('not_current', 'no valid configuration for the team'),
+      );
     const decision = resolveRule(current.compiled, facts);
     if (!decision) return fail(createError('no_rule'));
     if (decision.then.kind === 'refuse') {
@@ -75,10 +90,11 @@
   }
 
   /**
-   * Groups that a configuration lists by endpoint id. An endpoint is in one
-   * group for all teams: if any team could list it, one would take it out of the
-   * group that another team's rules name, which shows there as `no_endpoint`. So
-   * only the platform team's lists count, or those of the only team.
+   * Lists the groups that a configuration defines by endpoint id. An endpoint
+   * is in the same group for all teams. If every team could list it, one team
+   * could move it out of the group that another team's rules name, whose
+   * requests would then fail with `no_endpoint`. So only the platform team's
+   * lists are used, or those of the only team.
    */
   listGroups(): readonly RuleGroup[] {
     const team = this.platformTeam ?? findOnly(new Set(this.tenants.values()));
@@ -86,8 +102,9 @@
   }
 
   /**
-   * A rule as it stood in a version. A step goes on under the rule it was opened
-   * with, also at a new owner: what the audit says was in force must be what ran.
+   * Finds a rule in a given version. A step keeps the rule it was opened with,
+   * also after a new owner takes it over, so that the audit names the rule that
+   * applied.
    */
   findByVersion(
     team: TeamId,
--- a/packages/daemon/src/serve.ts
+++ b/packages/daemon/src/serve.ts
@@ -1,4 +1,7 @@
-/** Runs one entry VM as a process, from a settings file to its drained end. */
+/**
+ * Runs one entry VM as a process, from reading its settings file until it has
+ * drained.
+ */
 
 import {randomInt} from 'node:crypto';
 import {formatProblem} from '@radishyoke/core/rules/config_problem';
@@ -13,7 +16,10 @@
 const exitInvalidSettings = 3;
 const maxSeed = 2 ** 31;
 
-/** Resolves with the exit code when the VM has drained. */
+/**
+ * Runs a VM; resolves with the exit code once it has drained or failed to
+ * start.
+ */
 export async function runServe(path: string): Promise<number> {
   const signals = captureSignals();
   const settings = await loadSettings(path);
@@ -33,25 +39,28 @@
     settings: settings.value,
     logger,
     seed: randomInt(maxSeed),
-    requestDrain: () => drainTrigger.pull('operator'),
+    requestDrain: () => drainTrigger.fire('operator'),
   });
   signals.listen(signal => {
     if (signal === 'SIGHUP') void logReload(path, settings.value, logger);
-    else drainTrigger.pull(signal);
+    else drainTrigger.fire(signal);
   });
   const failure = await startOrStop(service);
   if (failure) {
     logger.log('error', 'start failed', {detail: failure});
     return exitFailure;
   }
-  const signal = await drainTrigger.pulled;
+  const signal = await drainTrigger.fired;
   logger.log('info', 'draining', {signal});
   const report = await service.drain(shutdown.maxDrainMs);
   logger.log(report.appsLeft > 0 ? 'warn' : 'info', 'stopped', {...report});
   return report.appsLeft > 0 ? exitFailure : exitOk;
 }
 
-/** Reads the settings again and tells what changed; a file with mistakes changes nothing. */
+/**
+ * Reads the settings again and logs what changed, or the problems of an invalid
+ * file. The running VM keeps its settings.
+ */
 async function logReload(
   path: string,
   current: Settings,
@@ -64,7 +73,10 @@
   logger.log(next.ok ? 'info' : 'error', 'settings reloaded', {detail});
 }
 
-/** Starts the VM; what failed, for example an address in use, is returned. */
+/**
+ * Starts the VM. On failure, such as an address in use, stops it and returns
+ * the reason.
+ */
 async function startOrStop(service: Vm): Promise<string | undefined> {
   try {
     await service.start();
@@ -75,9 +87,12 @@
   }
 }
 
-/** Something that is asked for once; asking again changes nothing. */
+/**
+ * Creates a promise and the function that resolves it; only the first call has
+ * an effect.
+ */
 function createTrigger() {
-  let pull: (reason: string) => void = () => undefined;
-  const pulled = new Promise<string>(resolve => (pull = resolve));
-  return {pull, pulled};
+  let fire: (reason: string) => void = () => undefined;
+  const fired = new Promise<string>(resolve => (fire = resolve));
+  return {fire, fired};
 }
--- a/packages/daemon/src/steps/sample_runner.ts
+++ b/packages/daemon/src/steps/sample_runner.ts
@@ -1,4 +1,4 @@
-/** Runs one sample of a step on engines and gathers its output. */
+/** Runs one sample of a step on engines and collects its output. */
 
 import type {Dispatcher as HttpDispatcher} from 'undici';
 import type {
@@ -22,18 +22,26 @@
 } from '@radishyoke/wire/engine_stream';
 import {Dispatcher, StartAction, WorkRunner} from '../scheduling/dispatcher.js';
 
-/** Number within the work of an attempt taken over from an earlier owner. */
+/**
+ * Attempt number, within the work item, of an attempt started by an earlier
+ * owner.
+ */
 const adoptedAttempt = 1;
 
-/** Shortest time between two reports of an attempt's progress, ms. */
+/** Minimum time between two progress reports of an attempt, ms. */
 const progressReportIntervalMs = 250;
 
 export interface SampleRunnerOptions extends SampleRef {
-  /** Engines know an attempt as `<requestPrefix>.<attempt>`. */
+  /**
+   * Engines receive an attempt under the request id
+   * `<requestPrefix>.<attempt>`.
+   */
   readonly requestPrefix: string;
-  /** The sample as the scheduler sees it. */
+  /** The sample as a work item of the scheduler. */
   readonly workItem: WorkItem;
-  /** Number of the scheduler's first attempt within the sample. */
+  /**
+   * Number, within the sample, of the first attempt that the scheduler starts.
+   */
   readonly firstAttempt: number;
   readonly model: string;
   readonly prompt: string;
@@ -46,18 +54,20 @@
   readonly onGiveUp: (err: RadishyokeError) => void;
 }
 
-/** One attempt of a sample that is over. Times are Unix ms. */
+/** An ended attempt of a sample. Times are Unix ms. */
 export interface EndedSampleAttempt {
   readonly attempt: number;
   readonly endpoint: EndpointId;
   readonly startedAtMs: number;
   readonly endedAtMs: number;
   readonly end: 'finished' | 'stopped' | FailureKind;
-  /** Versions that made its output, what it was resumed from included. */
+  /**
+   * Weight versions that generated the output, including the resumed prefix.
+   */
   readonly spans: readonly TokenSpan[];
 }
 
-/** One attempt's output so far, what it was resumed from included. */
+/** Output of one attempt so far, including the prefix it was resumed from. */
 interface PartialOutput {
   readonly endpoint: EndpointId;
   /** Unix ms. */
@@ -80,12 +90,12 @@
     super();
   }
 
-  /** Tokens that all attempts together brought. */
+  /** Tokens received from engines, summed over all attempts. */
   get receivedTokens(): number {
     return this.receivedTokenCount;
   }
 
-  /** All attempts, those still running as stopped now. */
+  /** Lists all attempts; those still running are reported as stopped now. */
   listAttempts(): readonly EndedSampleAttempt[] {
     return [...this.partials].map(([attempt, partial]) => ({
       attempt: this.toSampleAttempt(attempt),
@@ -101,15 +111,15 @@
     return this.options.workItem.id;
   }
 
-  /** Hands the work to the scheduler. */
+  /** Submits the work item to the scheduler. */
   submit(): void {
     this.options.dispatcher.submit(this.options.workItem, this);
   }
 
   /**
-   * Goes on reading an attempt that an earlier owner started as `requestId`.
-   * The work is submitted anew if the engine no longer has it: an engine keeps
-   * a generation for a while after its reader is gone.
+   * Continues reading an attempt that an earlier owner started as `requestId`.
+   * An engine keeps a generation only for a while after its reader disconnects;
+   * if it no longer has this one, the work item is submitted as a new one.
    */
   adopt(endpoint: EndpointInfo, requestId: string): void {
     const partial = createPartial(endpoint.id, []);
@@ -159,13 +169,19 @@
     this.partials.get(attempt)?.stream?.stop();
   }
 
-  /** Cancels all attempts; the dispatcher has forgotten the work. */
+  /**
+   * Cancels all attempts. The dispatcher must have dropped the work item
+   * already.
+   */
   stopAll(): void {
     this.stopped = true;
     for (const attempt of this.partials.keys()) this.stop(attempt);
   }
 
-  /** Stops reading and leaves the generations to the step's next owner. */
+  /**
+   * Stops reading but lets the engines continue, so that the step's next owner
+   * can adopt the attempts.
+   */
   detachAll(): void {
     this.stopped = true;
     for (const partial of this.partials.values()) partial.stream?.detach();
@@ -191,7 +207,10 @@
     this.options.onGiveUp(err);
   }
 
-  /** Whether every attempt holds tokens older than `minWeightVersion`. */
+  /**
+   * Whether every attempt contains tokens from weights older than
+   * `minWeightVersion`.
+   */
   isOutdated(minWeightVersion: number): boolean {
     const partials = [...this.partials.values()];
     const outdated = (partial: PartialOutput) =>
@@ -305,7 +324,7 @@
   return chunks.map(chunk => chunk.text).join('');
 }
 
-/** Joins neighbouring chunks of one weight version. */
+/** Merges adjacent chunks of the same weight version into spans. */
 export function mergeSpans(
   chunks: readonly GenerationChunk[],
 ): readonly TokenSpan[] {
--- a/packages/daemon/src/steps/step_api.ts
+++ b/packages/daemon/src/steps/step_api.ts
@@ -1,4 +1,7 @@
-/** The interface for trainers: open, follow, acknowledge and cancel a step. */
+/**
+ * HTTP API for trainers: opens, streams, acknowledges, describes and cancels
+ * steps.
+ */
 
 import type {IncomingMessage, ServerResponse} from 'node:http';
 import type {Dispatcher as HttpDispatcher} from 'undici';
@@ -25,9 +28,12 @@
 
 const stepsPrefix = '/v1/steps/';
 const stepIdPattern = /^[A-Za-z0-9][A-Za-z0-9._-]{0,127}$/;
-/** When a trainer should ask again for a step whose owner is not known, ms. */
+/**
+ * Retry delay given to a trainer when the step's owner is unknown or can not be
+ * reached, ms.
+ */
 const ownerRetryMs = 500;
-/** Heartbeats missed before a forwarded stream is given up on. */
+/** Missed heartbeats after which a forwarded stream is treated as broken. */
 const maxMissedHeartbeats = 3;
 
 const nonNegativeIntegerSchema = z.coerce.number().int().min(0);
@@ -43,25 +49,25 @@
   readonly rules: RuleRegistry;
   readonly directory: StepDirectory;
   readonly http: HttpDispatcher;
-  /** `ip:port` of another VM's caller listener. */
+  /** Returns the `ip:port` on which another VM listens for callers. */
   readonly findCallerAddress: (vm: VmId) => string | undefined;
 }
 
-/** One call on a step. */
+/** One API request about a step. */
 interface StepCall {
   readonly req: IncomingMessage;
   readonly res: ServerResponse;
   readonly caller: Caller;
   readonly step: StepId;
   readonly url: URL;
-  /** The body as received; empty for calls without one. */
+  /** The body as received; empty if there was none. */
   readonly body: Buffer;
 }
 
 export class StepApi {
   constructor(private readonly options: StepApiOptions) {}
 
-  /** Whether `path` belongs to this interface. */
+  /** Whether `path` belongs to this API. */
   static matches(path: string): boolean {
     return path.startsWith(stepsPrefix);
   }
@@ -194,7 +200,10 @@
     });
   }
 
-  /** Answers here, or forwards to the VM that owns the step. */
+  /**
+   * Calls `answer` if this VM owns the step or it is closed; otherwise forwards
+   * the request to the owner.
+   */
   private async withStep(
     call: StepCall,
     answer: (location: Exclude<StepLocation, {kind: 'elsewhere'}>) => void,
@@ -216,8 +225,8 @@
     const retry = {retryAfterMs: ownerRetryMs};
     const address = this.options.findCallerAddress(owner);
     const {forwardedBy} = HEADERS;
-    // Two VMs that each take the other for the owner would send a request
-    // round between them; one hop is enough when the log is read.
+    // Two VMs that each consider the other the owner would forward a request
+    // back and forth. One hop is enough once both have read the log.
     if (!address || readSingleHeader(call.req, forwardedBy)) {
       return createError('not_owner', undefined, retry);
     }
@@ -240,7 +249,11 @@
       call.res.destroy();
       return undefined;
     }
-    return createError('not_owner', `the owner ${owner} is not reached`, retry);
+    return createError(
+      'not_owner',
+      `the owner ${owner} can not be reached`,
+      retry,
+    );
   }
 }
 
@@ -276,7 +289,7 @@
   return succeed(parsed.data);
 }
 
-/** Tightens the trainer's bound to the rule's. */
+/** Limits the trainer's staleness bound to the one set by the rule. */
 function limitStaleness(req: StepRequest, route: Route): StepRequest {
   const {maxStaleness} = route.action;
   if (maxStaleness === undefined) return req;
--- a/packages/daemon/src/steps/step_directory.ts
+++ b/packages/daemon/src/steps/step_directory.ts
@@ -1,6 +1,6 @@
 /**
- * The steps this VM owns. Opens steps on the log, takes their leases, and takes
- * over steps whose owner is gone.
+ * The steps that this VM owns. Opens steps in the log, claims their leases, and
+ * takes over steps that have no owner.
  */
 
 import type {Dispatcher as HttpDispatcher} from 'undici';
@@ -22,7 +22,10 @@
 import type {EndedSampleAttempt} from './sample_runner.js';
 import {StepEnd, StepTask} from './step_task.js';
 
-/** Where a step is to be found. */
+/**
+ * Where a step runs: on this VM, on another VM, or nowhere because it is
+ * closed.
+ */
 export type StepLocation =
   | {readonly kind: 'here'; readonly task: StepTask}
   | {readonly kind: 'elsewhere'; readonly vm: VmId}
@@ -36,7 +39,10 @@
   readonly logger: Logger;
   readonly slowReaderTimeoutMs: number;
   readonly maxOpenSteps: number;
-  /** Rule that now holds for a step; its own rule may be gone. */
+  /**
+   * Finds the rule for a step, or a current one if its original rule is no
+   * longer stored.
+   */
   readonly resolveRoute: (ledger: StepLedger) => Result<Route>;
   readonly onRunEnd: (
     ledger: StepLedger,
@@ -48,9 +54,9 @@
   readonly onEnd: (ledger: StepLedger, end: StepEnd) => void;
 }
 
-/** How often steps without an owner are looked for, ms. */
+/** Interval at which steps without an owner are looked for, ms. */
 const unownedScanIntervalMs = 500;
-/** How much longer each VM waits than the one before it in line, ms. */
+/** Extra delay per rank before a VM claims a step without an owner, ms. */
 const claimStaggerMs = 1500;
 
 export class StepDirectory {
@@ -76,7 +82,9 @@
     return this.tasks;
   }
 
-  /** Opens a step, or finds it if it is open with the same body. */
+  /**
+   * Opens a step, or locates it if it was already opened with the same body.
+   */
   async open(
     tenant: TenantId,
     step: StepId,
@@ -111,7 +119,7 @@
     return this.locate(tenant, step);
   }
 
-  /** Finds a step, taking it over when nobody owns it. */
+  /** Locates a step and claims it if no VM owns it. */
   async locate(tenant: TenantId, step: StepId): Promise<Result<StepLocation>> {
     const {log} = this.options;
     const ledger = log.state.findStep(tenant, step);
@@ -126,14 +134,14 @@
     return this.claim(ledger);
   }
 
-  /** Gives all steps back for others to go on with. */
+  /** Releases all steps so that other VMs can take them over. */
   releaseAll(): void {
     this.isClosing = true;
     clearInterval(this.scanner);
     for (const task of [...this.tasks.values()]) task.release();
   }
 
-  /** Stops without a word, as a crash would. */
+  /** Stops without releasing leases or closing steps, as a crash would. */
   stop(): void {
     this.isClosing = true;
     clearInterval(this.scanner);
@@ -148,7 +156,10 @@
     return isHeld ? lease.vm : undefined;
   }
 
-  /** One claim at a time for a step: a second would only burn an append. */
+  /**
+   * Runs one claim per step at a time, since a second one would only waste an
+   * append.
+   */
   private claim(ledger: StepLedger): Promise<Result<StepLocation>> {
     const pending = this.pendingClaims.get(ledger.key);
     if (pending) return pending;
@@ -223,9 +234,9 @@
   }
 
   /**
-   * Takes over steps nobody owns, also when no trainer asks for them. The VMs
-   * stand in an order of their own for each step, so that as a rule one claims
-   * and the others find it owned when their turn comes.
+   * Takes over steps without an owner, even if no trainer requests them. Each
+   * step ranks the VMs differently and a VM waits according to its rank, so
+   * usually one VM claims the step and the others find it owned.
    */
   private scanUnowned(): void {
     if (this.isClosing) return;
@@ -247,6 +258,7 @@
     void this.claim(ledger);
   }
 
+  /** Counts the live VMs that should claim the step before this one. */
   private findClaimRank(key: string): number {
     const {vm} = this.options;
     const rank = (id: VmId) => computeDigest(`${id} ${key}`);
--- a/packages/daemon/src/steps/step_record_writer.ts
+++ b/packages/daemon/src/steps/step_record_writer.ts
@@ -1,6 +1,7 @@
 /**
- * What an owner writes to the log of its step: attempts and winners, gathered
- * for a moment so that they share an append, and the rest at once.
+ * Writes a step's records to the log on behalf of its owner. Started attempts
+ * and winners are batched briefly so that they share an append; other records
+ * are written immediately.
  */
 
 import type {StepLedger} from '@radishyoke/core/steps/step_ledger';
@@ -12,18 +13,18 @@
 } from '@radishyoke/shared/log_record';
 import type {LogTask, StateBody} from '../log/log_task.js';
 
-/** How long records wait for others to share an append with, ms. */
+/** How long records are collected before they are appended together, ms. */
 const batchDelayMs = 20;
-/** Pause before a refused commit is tried again, ms. */
+/** Delay before a failed commit is reported for a retry, ms. */
 const commitRetryDelayMs = 500;
 
-/** An attempt that began, as the log is told of it. */
+/** A started attempt as it is recorded in the log. */
 interface StartedAttempt extends SampleRef {
   readonly attempt: number;
   readonly endpoint: EndpointId;
 }
 
-/** A record of this step, less what each of them bears. */
+/** A step record without the fields that all of them share. */
 type StepRecordBody = StateBody extends infer Body
   ? Body extends {readonly fencing: number; readonly step: unknown}
     ? Omit<Body, 'tenant' | 'step' | 'fencing'>
@@ -34,11 +35,11 @@
   readonly ledger: StepLedger;
   readonly fencing: number;
   readonly log: LogTask;
-  /** The log holds these winners. */
+  /** Called when the log has accepted these winners. */
   readonly onCommitted: (samples: readonly CommittedSample[]) => void;
-  /** The log did not take these. */
+  /** Called when these could not be appended. */
   readonly onRefused: (samples: readonly SampleCommit[]) => void;
-  /** A newer owner of the step has written. */
+  /** Called when the log shows that the step has a newer owner. */
   readonly onSuperseded: () => void;
 }
 
@@ -76,7 +77,10 @@
     void this.write({kind: 'step_closed', reason});
   }
 
-  /** Writes attempts before winners: a winner's attempt must be known to readers. */
+  /**
+   * Writes attempts before winners, because readers must know a winner's
+   * attempt first.
+   */
   flush(): void {
     clearTimeout(this.flushTimer);
     this.flushTimer = undefined;
@@ -89,7 +93,7 @@
     if (commits.length > 0) void this.writeCommits(commits);
   }
 
-  /** Nothing is written or told after this. */
+  /** Drops pending records and retries; no callback for a commit follows. */
   stop(): void {
     this.stopped = true;
     clearTimeout(this.flushTimer);
@@ -114,7 +118,10 @@
     this.retryTimers.add(timer);
   }
 
-  /** Appends a record under this owner's fencing number; undefined if not taken. */
+  /**
+   * Appends a record under this owner's fencing number. Returns the committed
+   * samples, if any, or undefined if the append failed.
+   */
   private async write(
     body: StepRecordBody,
   ): Promise<readonly CommittedSample[] | undefined> {
--- a/packages/daemon/src/steps/step_runs.ts
+++ b/packages/daemon/src/steps/step_runs.ts
@@ -1,4 +1,6 @@
-/** The samples of a step that run at its owner, each with its runner. */
+/**
+ * The samples of a step that are running at its owner, each with its runner.
+ */
 
 import type {Dispatcher as HttpDispatcher} from 'undici';
 import {computeDigest, computePrefixKey} from '@radishyoke/core/ledger/digest';
@@ -17,7 +19,7 @@
 import type {Dispatcher} from '../scheduling/dispatcher.js';
 import {EndedSampleAttempt, SampleRunner} from './sample_runner.js';
 
-/** Characters a token stands for when a prompt's length is estimated. */
+/** Assumed characters per token for estimating the length of a prompt. */
 const charsPerToken = 4;
 
 export type RunOrder = Extract<StepOutput, {readonly kind: 'run'}>;
@@ -28,7 +30,7 @@
   readonly action: RouteAction;
   readonly dispatcher: Dispatcher;
   readonly http: HttpDispatcher;
-  /** Unix ms at which the step's work is worth nothing any more. */
+  /** Returns the step's deadline, Unix ms. */
   readonly findDeadlineAtMs: () => number;
   readonly onAttemptStart: (
     ref: SampleRef,
@@ -37,12 +39,14 @@
   ) => void;
   readonly onOutput: (output: SampleOutput) => void;
   readonly onGiveUp: (ref: SampleRef, error: RadishyokeError) => void;
-  /** Told of a run's attempts when it is over, however it ended. */
+  /**
+   * Called with a run's attempts when the run has ended, whatever its outcome.
+   */
   readonly onRunEnd: (
     ref: SampleRef,
     attempts: readonly EndedSampleAttempt[],
   ) => void;
-  /** Told of generated tokens that no trainer will receive. */
+  /** Called with a number of generated tokens that no trainer will receive. */
   readonly onWasted: (tokens: number) => void;
 }
 
@@ -53,7 +57,10 @@
 
 export class StepRuns {
   private readonly runs = new Map<string, Run>();
-  /** Samples whose attempt by an earlier owner was already gone on from. */
+  /**
+   * Samples whose attempt by an earlier owner has already been adopted; each is
+   * adopted once.
+   */
   private readonly adoptedSamples = new Set<string>();
   private workItemCount = 0;
 
@@ -85,26 +92,35 @@
     this.endRun(ref);
   }
 
-  /** Samples that already hold output of weights older than `version`. */
+  /**
+   * Lists samples all of whose attempts contain output of weights older than
+   * `version`.
+   */
   listOutdated(version: number): readonly SampleRef[] {
     return [...this.runs.values()]
       .filter(({runner}) => runner.isOutdated(version))
       .map(({ref}) => ref);
   }
 
-  /** Leaves the engines at their work, for the next owner to go on from. */
+  /**
+   * Stops reading but lets the engines continue, so that the next owner can
+   * adopt the attempts.
+   */
   detachAll(): void {
     for (const {runner} of this.runs.values()) runner.detachAll();
   }
 
-  /** Has the scheduler forget all samples, without stopping their engines. */
+  /** Removes all samples from the scheduler without stopping the engines. */
   forgetAll(): void {
     for (const {runner} of this.runs.values()) {
       this.options.dispatcher.forget(runner.workId);
     }
   }
 
-  /** What engines know an owner's attempts of a sample by, less the number. */
+  /**
+   * Builds the request id of an owner's attempts at a sample, without the
+   * attempt number.
+   */
   buildRequestPrefix(ref: SampleRef, fencing: number): string {
     const {tenant, step} = this.options.ledger.opening;
     return `${tenant}/${step}/${ref.group}.${ref.sample}.${fencing}`;
@@ -142,7 +158,9 @@
     });
   }
 
-  /** The last attempt of an earlier owner, if its endpoint is still there. */
+  /**
+   * Finds the last attempt of an earlier owner if its endpoint still exists.
+   */
   private findAdoptableAttempt(ref: SampleRef) {
     const {ledger, dispatcher, fencing} = this.options;
     const last = ledger.listAttempts(ref.group, ref.sample).at(-1);
@@ -175,13 +193,16 @@
       maxAttempts: action.maxAttempts,
       hedge: action.hedge,
       maxInFlight: action.maxInFlight,
-      // Prompts of one trainer often begin alike; a fingerprint of the beginning
-      // would blame all of them for the one that crashes engines.
+      // The prompts of one trainer often share a prefix. A fingerprint of the
+      // prefix would blame all of them for the one that crashes engines.
       fingerprint: computeDigest(prompt),
     };
   }
 
-  /** The run is over; of what it received, `usedTokens` are handed over. */
+  /**
+   * Ends a run of whose received tokens `usedTokens` are delivered; the rest
+   * count as wasted.
+   */
   private endRun(ref: SampleRef, usedTokens = 0): void {
     const key = formatSampleKey(ref);
     const run = this.runs.get(key);
@@ -197,7 +218,10 @@
   return spans.reduce((sum, span) => sum + span.tokens, 0);
 }
 
-/** A seed that is the same on every VM, so that a rerun draws the same sample. */
+/**
+ * Returns a seed that is the same on every VM, so that a rerun generates the
+ * same sample.
+ */
 function hashSeed(text: string): number {
   return parseInt(computePrefixKey(text).slice(0, 8), 16);
 }
--- a/packages/daemon/src/steps/step_stream.ts
+++ b/packages/daemon/src/steps/step_stream.ts
@@ -1,9 +1,12 @@
-/** The trainer's end of a step: one open response that carries its events. */
+/** An open HTTP response that streams a step's events to the trainer. */
 
 import type {ServerResponse} from 'node:http';
 import type {StepEvent} from '@radishyoke/shared/rollout';
 
-/** Time between heartbeats; a client takes three missed ones for a cut, ms. */
+/**
+ * Time between heartbeats, ms. A client treats three missed heartbeats as a
+ * broken connection.
+ */
 export const HEARTBEAT_INTERVAL_MS = 1000;
 
 export class StepStream {
@@ -32,15 +35,15 @@
     if (!hasRoom) this.blockedSinceMs ??= Date.now();
   }
 
-  /** Ends the response; what was sent before still goes out. */
+  /** Ends the response; events sent before are still delivered. */
   end(): void {
     clearInterval(this.heartbeat);
     this.res.end();
   }
 
   private sendHeartbeat(): void {
-    // A reader that takes nothing would pile up every rollout of the step in
-    // this process. It is cut off and goes on from its cursor when it is back.
+    // A reader that does not read would make this process buffer every rollout
+    // of the step. It is disconnected and resumes from its cursor later.
     const blockedMs = Date.now() - (this.blockedSinceMs ?? Date.now());
     if (blockedMs > this.slowReaderTimeoutMs) {
       this.res.destroy();
--- a/packages/daemon/src/steps/step_task.ts
+++ b/packages/daemon/src/steps/step_task.ts
@@ -1,6 +1,7 @@
 /**
- * The task that runs one step at its owner. It feeds the step machine and does
- * what that answers: submits samples, writes the ledger, talks to the trainer.
+ * The task that runs one step at its owner. It passes inputs to the step
+ * machine and executes its outputs: submits samples, writes to the log, and
+ * sends events to the trainer.
  */
 
 import type {ServerResponse} from 'node:http';
@@ -29,11 +30,11 @@
 import {StepStream} from './step_stream.js';
 import {recoverWinner} from './winner_recovery.js';
 
-/** How often deadlines are looked at, ms. */
+/** Interval at which deadlines and the lease are checked, ms. */
 const tickIntervalMs = 200;
 /**
- * What became of a step at this VM. After `lost` and `left` another VM goes on
- * with it.
+ * Why a step ended at this VM. After `lost` and `left` another VM continues the
+ * step.
  */
 export type StepEnd = 'complete' | 'cancelled' | 'timed_out' | 'lost' | 'left';
 
@@ -46,16 +47,20 @@
   readonly http: HttpDispatcher;
   readonly logger: Logger;
   readonly slowReaderTimeoutMs: number;
-  /** Called once; the task does nothing more after it. */
+  /** Called once; the task is inactive afterwards. */
   readonly onEnd: (end: StepEnd) => void;
-  /** Told of a run's attempts when it is over, however it ended. */
+  /**
+   * Called with a run's attempts when the run has ended, whatever its outcome.
+   */
   readonly onRunEnd: (
     ref: SampleRef,
     attempts: readonly EndedSampleAttempt[],
   ) => void;
-  /** Told of generated tokens that no trainer will receive. */
+  /** Called with a number of generated tokens that no trainer will receive. */
   readonly onWasted: (tokens: number) => void;
-  /** Told of every sample settled, for metrics and the audit. */
+  /**
+   * Called with the output of each finished sample, for metrics and the audit.
+   */
   readonly onSettled: (output: SampleOutput) => void;
 }
 
@@ -93,7 +98,7 @@
     this.executeAll(this.machine.begin());
   }
 
-  /** Connects the trainer's response; an earlier one is ended. */
+  /** Attaches the trainer's response and ends the previous one, if any. */
   attach(
     res: ServerResponse,
     cursor: number,
@@ -128,12 +133,12 @@
     return this.machine.describe();
   }
 
-  /** Stops without closing the step: another VM goes on with it. */
+  /** Stops without closing the step, so that another VM can take it over. */
   release(): void {
     this.finish('left');
   }
 
-  /** Stops without a word to the log or the engines, as a crash would. */
+  /** Stops without notifying the log or the engines, as a crash would. */
   stop(): void {
     this.ended = true;
     clearInterval(this.ticker);
@@ -149,8 +154,8 @@
   private tick(): void {
     const {log, ledger, fencing} = this.options;
     const lease = buildStepLeaseName(ledger.key);
-    // A newer claim on the log ends this owner, also when it was paused past
-    // its lease: whatever it still wrote is void at the log.
+    // A newer claim in the log ends this ownership, for example after this VM
+    // was paused past its lease. The log voids what it wrote since that claim.
     if (!log.state.leases.isCurrent(lease, fencing)) {
       this.finish('lost');
       return;
@@ -279,7 +284,7 @@
   }
 }
 
-/** When the step was opened, on this VM's clock. */
+/** Estimates when the step was opened, in Unix ms of this VM's clock. */
 function estimateOpenedAtMs(options: StepTaskOptions): number {
   const {ledger, log} = options;
   const ageMs = log.estimateLogNowMs() - ledger.opening.openedAtMs;
--- a/packages/daemon/src/steps/winner_recovery.ts
+++ b/packages/daemon/src/steps/winner_recovery.ts
@@ -1,4 +1,7 @@
-/** Asks the engine that made a committed sample for its text again. */
+/**
+ * Fetches the text of a committed sample again from the engine that generated
+ * it.
+ */
 
 import type {Dispatcher as HttpDispatcher} from 'undici';
 import type {SampleOutput} from '@radishyoke/core/steps/step_message';
@@ -8,8 +11,9 @@
 import {mergeSpans} from './sample_runner.js';
 
 /**
- * The output of a winner that an earlier owner committed, or undefined if the
- * engine no longer has it. `requestId` is what the engine knew it by.
+ * Returns the output of a winner that an earlier owner committed, or undefined
+ * if the engine no longer has it. `requestId` is the id under which the engine
+ * ran it.
  */
 export async function recoverWinner(
   committed: CommittedSample,
--- a/packages/daemon/src/vm.ts
+++ b/packages/daemon/src/vm.ts
@@ -1,4 +1,4 @@
-/** One entry VM: its tasks, wired together from its settings. */
+/** One entry VM: creates its tasks from the settings and connects them. */
 
 import {setTimeout as sleep} from 'node:timers/promises';
 import {randomUUID} from 'node:crypto';
@@ -34,26 +34,26 @@
 import {VmMetrics} from './vm_metrics.js';
 
 const claimHorizonMs = 3_600_000;
-/** How often trainers are looked at for waiting, ms. */
+/** Interval at which waiting trainers are counted for the idle time, ms. */
 const idleSampleIntervalMs = 500;
-/** Most connections to one endpoint. */
+/** Maximum number of connections to one endpoint. */
 const connectionsPerEndpoint = 512;
 const connectTimeoutMs = 1000;
 const drainPollIntervalMs = 50;
-/** Longest wait for the last records to be taken, ms. */
+/** Longest wait for each of the final appends of a drain, ms. */
 const finalAppendTimeoutMs = 2000;
 
 export interface VmOptions {
   readonly settings: Settings;
   readonly logger: Logger;
-  /** Seeds the scheduler's draws. */
+  /** Seed of the scheduler's and the membership's random choices. */
   readonly seed: number;
   readonly scheduler?: Scheduler;
-  /** Called when an operator asks for this VM to be drained. */
+  /** Called when an operator requests that this VM be drained. */
   readonly requestDrain?: () => void;
 }
 
-/** What was unfinished when a VM stopped. */
+/** What was unfinished when a VM stopped: app requests and open steps. */
 export interface DrainReport {
   readonly appsLeft: number;
   readonly stepsHandedOver: number;
@@ -83,7 +83,10 @@
   private readonly auditRecorder: AuditRecorder;
   private readonly server: CallerServer;
   private isDraining = false;
-  /** New requests are refused; the notice to the balancer is over. */
+  /**
+   * Set when the notice period for the balancer is over and new requests are
+   * refused.
+   */
   private isRefusing = false;
 
   constructor(private readonly options: VmOptions) {
@@ -184,23 +187,25 @@
       }),
       apps: this.apps,
       logger,
-      findObstacle: () => this.findObstacle(),
-      findReadyObstacle: () => this.findReadyObstacle(),
+      findObstacle: () => this.findRefusal(),
+      findReadyObstacle: () => this.findReadinessFailure(),
     });
     this.admin = this.createAdmin();
   }
 
-  /** Address that the administration API took; empty before the start. */
+  /**
+   * Address on which the administration API listens; empty before the start.
+   */
   get adminAddress(): string {
     return this.boundAdminAddress;
   }
 
-  /** `ip:port` that other VMs connect to, once started. */
+  /** `ip:port` that other VMs connect to; empty before the start. */
   get peerAddress(): string {
     return this.boundPeerAddress;
   }
 
-  /** Starts all tasks; resolves with the address callers connect to. */
+  /** Starts all tasks; resolves with the address that callers connect to. */
   async start(): Promise<string> {
     this.wiring.start();
     this.idleTimer = setInterval(
@@ -226,21 +231,21 @@
     return address;
   }
 
-  /** Apps' requests that have no answer yet. */
+  /** Counts the app requests in flight. */
   countRequests(): number {
     return this.apps.countInFlight();
   }
 
   /**
-   * Leaves well: takes no new work, gives steps to other VMs and waits for
-   * requests in flight, at most `maxDrainMs`.
+   * Shuts down gracefully: accepts no new work, releases its steps to other VMs
+   * and waits at most `maxDrainMs` for requests in flight.
    */
   async drain(maxDrainMs: number): Promise<DrainReport> {
     this.isDraining = true;
     this.peers.publish({kind: 'leave'});
     const deadlineAtMs = Date.now() + maxDrainMs;
-    // The balancer goes on sending for a while after /readyz has changed; a
-    // refusal in that time would reach callers that did nothing wrong.
+    // The balancer continues to send requests for a while after /readyz has
+    // changed. Refusing them would fail callers without need.
     await sleep(this.options.settings.shutdown.noticeMs);
     this.isRefusing = true;
     const stepsHandedOver = this.directory.listTasks().size;
@@ -255,7 +260,7 @@
     return {appsLeft, stepsHandedOver};
   }
 
-  /** Stops at once, as a crash would, but for closed sockets. */
+  /** Stops at once as a crash would, except that it closes its sockets. */
   async stop(): Promise<void> {
     this.orders.stop();
     clearInterval(this.idleTimer);
@@ -312,7 +317,7 @@
       endpoints: this.endpoints,
       peers: this.peers,
       metrics: this.metrics,
-      isReady: () => this.findReadyObstacle() === undefined,
+      isReady: () => this.findReadinessFailure() === undefined,
       isDraining: () => this.isDraining,
       requestDrain,
     });
@@ -355,7 +360,7 @@
     const {rule, configVersion} = ledger.opening;
     const opened = this.rules.findByVersion(team, rule, configVersion);
     if (opened) return succeed(opened);
-    // The request that opened the step was counted where it came in.
+    // The request that opened the step was counted by the VM that received it.
     return this.rules.findRoute(team, {
       tenant,
       workClass: 'rollout',
@@ -367,30 +372,33 @@
     });
   }
 
-  /** Why the balancer should send nothing new here, if so. */
-  private findReadyObstacle(): RadishyokeError | undefined {
-    return this.isDraining ? createDrainingError() : this.findObstacle();
+  /** Returns why the balancer should send no new requests to this VM, if so. */
+  private findReadinessFailure(): RadishyokeError | undefined {
+    return this.isDraining ? createDrainingError() : this.findRefusal();
   }
 
-  /** Why a request is refused, if so. */
-  private findObstacle(): RadishyokeError | undefined {
+  /** Returns why this VM refuses all requests, if it does. */
+  private findRefusal(): RadishyokeError | undefined {
     if (this.isRefusing) return createDrainingError();
-    const currency = this.log.assessConfigFreshness(
+    const freshness = this.log.assessConfigFreshness(
       this.wiring.describePeers(),
     );
-    if (currency.kind !== 'not_current') return this.findStateObstacle();
-    return createError('not_current', `configuration: ${currency.reason}`);
+    if (freshness.kind !== 'not_current') return this.findStateRefusal();
+    return createError('not_current', `configuration: ${freshness.reason}`);
   }
 
   /**
-   * A VM that starts reads the steps and leases first. When the log is down it
-   * does not wait for that: app requests need no more than the configuration,
-   * and what needs the log is refused by itself.
+   * A starting VM reads the steps and leases before it accepts requests, unless
+   * the log is down: app requests need only the configuration, and requests
+   * that need the log are refused individually.
    */
-  private findStateObstacle(): RadishyokeError | undefined {
+  private findStateRefusal(): RadishyokeError | undefined {
     const isLogDown = this.log.health().outageSinceMs !== undefined;
     if (this.log.hasReadState || isLogDown) return undefined;
-    return createError('not_current', 'steps and leases are being read');
+    return createError(
+      'not_current',
+      'steps and leases have not been read yet',
+    );
   }
 }
 
--- a/packages/daemon/src/vm_metrics.ts
+++ b/packages/daemon/src/vm_metrics.ts
@@ -1,4 +1,4 @@
-/** Turns what happens on a VM into its histograms and counters. */
+/** Records the events of a VM in its histograms and counters. */
 
 import {MetricRegistry} from '@radishyoke/core/metrics/metrics';
 import {RequestRecorder} from '@radishyoke/core/audit/recorded_request';
@@ -14,15 +14,15 @@
 
 const FIRST_ATTEMPT = 1;
 
-/** One instance a VM. */
+/** One instance per VM. */
 export class VmMetrics {
   readonly registry = new MetricRegistry();
   readonly recorder = new RequestRecorder();
 
-  /** Time in which trainers waited, by step. */
+  /** Time for which each step's trainer has waited. */
   private readonly idleMsByStep = new Map<string, number>();
 
-  /** A rule was looked for. */
+  /** Records the result of a rule lookup. */
   recordRoute(facts: RuleFacts, route: Result<Route>): void {
     const {tenant, workClass = 'interactive'} = facts;
     this.recorder.record(facts, Date.now());
@@ -73,7 +73,10 @@
     this.registry.addCount('wasted_tokens', tenant, 'rollout', 'step', tokens);
   }
 
-  /** Looks once in `everyMs` which of this VM's steps have their trainer wait. */
+  /**
+   * Adds `intervalMs` of idle time to each step whose trainer is waiting;
+   * called once per interval.
+   */
   sampleTrainerIdle(ledgers: readonly StepLedger[], intervalMs: number): void {
     for (const {key, acknowledged, lastCursor} of ledgers) {
       if (acknowledged < lastCursor) continue;
@@ -84,7 +87,10 @@
     }
   }
 
-  /** `nowMs` is the log's time, as the opening is. */
+  /**
+   * Records an ended step. `logNowMs` is log time, as is the time of the
+   * opening.
+   */
   recordStepEnd(ledger: StepLedger, end: StepEnd, logNowMs: number): void {
     const idleMs = this.idleMsByStep.get(ledger.key) ?? 0;
     this.idleMsByStep.delete(ledger.key);
