--- a/packages/daemon/src/admin/__tests__/admin_server.spec.ts
+++ b/packages/daemon/src/admin/__tests__/admin_server.spec.ts
@@ -12,16 +12,16 @@
   KODKUTU,
 } from './fake_admin_backend.js';
 
-const FAR_MS = Date.UTC(2100, 0);
+const FAR_FUTURE_MS = Date.UTC(2100, 0);
 
-interface Holder {
+interface TokenHolder {
   readonly name: string;
   readonly team: TeamId;
   readonly roles: readonly Role[];
   readonly expiresAtMs?: number;
 }
 
-const HOLDERS: readonly Holder[] = [
+const HOLDERS: readonly TokenHolder[] = [
   {name: 'reader', team: KODKUTU, roles: ['read']},
   {name: 'publisher', team: KODKUTU, roles: ['publish']},
   {name: 'auditor', team: KODKUTU, roles: ['audit']},
@@ -32,7 +32,7 @@
 async function createTokens() {
   const secrets = new Map<string, string>();
   const tokens: TokenSettings[] = [];
-  for (const {name, team, roles, expiresAtMs = FAR_MS} of HOLDERS) {
+  for (const {name, team, roles, expiresAtMs = FAR_FUTURE_MS} of HOLDERS) {
     const token = mintToken(name);
     secrets.set(name, token);
     tokens.push({name, team, roles, expiresAtMs, hash: await hashToken(token)});
--- a/packages/daemon/src/admin/__tests__/fake_admin_backend.ts
+++ b/packages/daemon/src/admin/__tests__/fake_admin_backend.ts
@@ -119,7 +119,9 @@
     return succeed(version);
   }
 
-  listRecorded(tenants: ReadonlySet<TenantId>): readonly RecordedRequest[] {
+  listRecordedRequests(
+    tenants: ReadonlySet<TenantId>,
+  ): readonly RecordedRequest[] {
     return [...tenants].map(tenant => ({
       atMs: 1,
       facts: {
--- a/packages/daemon/src/admin/admin_auth.ts
+++ b/packages/daemon/src/admin/admin_auth.ts
@@ -15,7 +15,7 @@
 }
 
 /** Hashes that may be computed at once; each takes memory and a thread. */
-const MAX_CHECKS_AT_ONCE = 2;
+const MAX_CONCURRENT_CHECKS = 2;
 /** Checks that may wait; more are refused. */
 const MAX_WAITING_CHECKS = 32;
 
@@ -26,9 +26,9 @@
 export class Authenticator {
   private readonly tokens: ReadonlyMap<string, TokenSettings>;
   /** Digests of tokens that were found right, so that each is hashed once. */
-  private readonly known = new Map<string, Buffer>();
-  private readonly waiting: Array<() => void> = [];
-  private running = 0;
+  private readonly verifiedDigests = new Map<string, Buffer>();
+  private readonly waitingChecks: Array<() => void> = [];
+  private runningChecks = 0;
 
   constructor(tokens: readonly TokenSettings[]) {
     this.tokens = new Map(tokens.map(token => [token.name, token]));
@@ -55,7 +55,7 @@
   }
 
   /** The name in `header` if the settings know it: safe to log. */
-  nameOf(header: string | undefined): string | undefined {
+  findTokenName(header: string | undefined): string | undefined {
     const name = readTokenName(header?.replace(/^Bearer /i, '') ?? '');
     return name !== undefined && this.tokens.has(name) ? name : undefined;
   }
@@ -65,35 +65,35 @@
     settings: TokenSettings | undefined,
   ): Promise<Result<boolean>> {
     const digest = createHash('sha256').update(token).digest();
-    const known = settings && this.known.get(settings.name);
-    if (known && timingSafeEqual(known, digest)) return succeed(true);
+    const verified = settings && this.verifiedDigests.get(settings.name);
+    if (verified && timingSafeEqual(verified, digest)) return succeed(true);
     // Unknown names take the same time as known ones, or an attacker learns by
     // the clock which names exist.
-    return this.inTurn(async () => {
-      const right = await matchesHash(token, settings?.hash ?? UNKNOWN_HASH);
-      if (right && settings) this.known.set(settings.name, digest);
-      return right && settings !== undefined;
+    return this.runWhenSlotFree(async () => {
+      const isMatch = await matchesHash(token, settings?.hash ?? UNKNOWN_HASH);
+      if (isMatch && settings) this.verifiedDigests.set(settings.name, digest);
+      return isMatch && settings !== undefined;
     });
   }
 
   /** Runs a check when one of few places is free. */
-  private async inTurn<T>(run: () => Promise<T>): Promise<Result<T>> {
-    if (this.running >= MAX_CHECKS_AT_ONCE) {
+  private async runWhenSlotFree<T>(run: () => Promise<T>): Promise<Result<T>> {
+    if (this.runningChecks >= MAX_CONCURRENT_CHECKS) {
       // A flood of wrong tokens would take the processor from the work of
       // callers; it shows as slow answers on the caller listener.
-      if (this.waiting.length >= MAX_WAITING_CHECKS) {
+      if (this.waitingChecks.length >= MAX_WAITING_CHECKS) {
         return fail(createError('overloaded', 'too many tokens to check'));
       }
-      await new Promise<void>(resolve => this.waiting.push(resolve));
+      await new Promise<void>(resolve => this.waitingChecks.push(resolve));
     } else {
-      this.running++;
+      this.runningChecks++;
     }
     try {
       return succeed(await run());
     } finally {
-      const next = this.waiting.shift();
+      const next = this.waitingChecks.shift();
       if (next) next();
-      else this.running--;
+      else this.runningChecks--;
     }
   }
 }
--- a/packages/daemon/src/admin/admin_backend.ts
+++ b/packages/daemon/src/admin/admin_backend.ts
@@ -46,7 +46,7 @@
     readonly text: string;
   }): Promise<Result<number>>;
 
-  abstract listRecorded(
+  abstract listRecordedRequests(
     tenants: ReadonlySet<TenantId>,
   ): readonly RecordedRequest[];
 
--- a/packages/daemon/src/admin/admin_route.ts
+++ b/packages/daemon/src/admin/admin_route.ts
@@ -48,7 +48,7 @@
   ) => Promise<Result<unknown>> | Result<unknown>;
 }
 
-type Run<Name extends AdminAnswerName> = (
+type RouteHandler<Name extends AdminAnswerName> = (
   backend: AdminBackend,
   call: AdminCall,
 ) => Promise<Result<AdminAnswer<Name>>> | Result<AdminAnswer<Name>>;
@@ -60,7 +60,7 @@
   path: string,
   role: Role,
   answer: Name,
-  run: Run<Name>,
+  run: RouteHandler<Name>,
 ): AdminRoute {
   return {method: 'GET', path, role, platformOnly: false, answer, run};
 }
@@ -69,7 +69,7 @@
   path: string,
   role: Role,
   answer: Name,
-  run: Run<Name>,
+  run: RouteHandler<Name>,
   platformOnly = false,
 ): AdminRoute {
   return {method: 'POST', path, role, platformOnly, answer, run};
@@ -86,13 +86,13 @@
     succeed({endpoints: backend.listEndpoints()}),
   ),
   get('/admin/v1/steps', 'read', 'steps', (backend, call) =>
-    succeed({steps: keepOwn(backend.listSteps(), call)}),
+    succeed({steps: filterOwn(backend.listSteps(), call)}),
   ),
   get('/admin/v1/queues', 'read', 'queues', (backend, call) =>
-    succeed({queues: keepOwn(backend.listQueues(), call)}),
+    succeed({queues: filterOwn(backend.listQueues(), call)}),
   ),
   get('/admin/v1/leases', 'read', 'leases', (backend, call) =>
-    succeed({leases: keepOwn(backend.listLeases(), call)}),
+    succeed({leases: filterOwn(backend.listLeases(), call)}),
   ),
   get('/admin/v1/histograms', 'read', 'histograms', encodeOwnMetrics),
   get('/admin/v1/rules', 'read', 'rules', showRules),
@@ -117,7 +117,7 @@
 }
 
 /** Drops what belongs to tenants of other teams; what no tenant owns stays. */
-function keepOwn<T extends {readonly tenant: string | null}>(
+function filterOwn<T extends {readonly tenant: string | null}>(
   items: readonly T[],
   {tenants}: AdminCall,
 ): readonly T[] {
@@ -145,14 +145,14 @@
   const version = readVersion(call.query, 'version');
   const found = findVersion(backend, call, version);
   if (!found) return fail(createError('not_found', 'no such version'));
-  return succeed({...summarize(found), text: found.text});
+  return succeed({...summarizeVersion(found), text: found.text});
 }
 
 function listHistory(
   backend: AdminBackend,
   {principal}: AdminCall,
 ): Result<AdminAnswer<'history'>> {
-  const versions = backend.listVersions(principal.team).map(summarize);
+  const versions = backend.listVersions(principal.team).map(summarizeVersion);
   return succeed({versions});
 }
 
@@ -192,7 +192,7 @@
     compareRuleSets(
       before?.ok ? before.value : undefined,
       after.value,
-      backend.listRecorded(call.tenants),
+      backend.listRecordedRequests(call.tenants),
     ),
   );
 }
@@ -268,10 +268,15 @@
 ): ConfigVersion | undefined {
   const versions = backend.listVersions(principal.team);
   if (version === undefined) return versions.at(-1);
-  return versions.find(one => one.version === version);
+  return versions.find(candidate => candidate.version === version);
 }
 
-function summarize({version, basedOn, author, publishedAtMs}: ConfigVersion) {
+function summarizeVersion({
+  version,
+  basedOn,
+  author,
+  publishedAtMs,
+}: ConfigVersion) {
   return {version, basedOn, author, publishedAtMs};
 }
 
--- a/packages/daemon/src/admin/admin_server.ts
+++ b/packages/daemon/src/admin/admin_server.ts
@@ -101,7 +101,7 @@
       ? await this.answer(req, res, url, principal.value)
       : principal;
     this.logAccess({
-      tokenName: this.authenticator.nameOf(authorization),
+      tokenName: this.authenticator.findTokenName(authorization),
       team: principal.ok ? principal.value.team : undefined,
       method: req.method ?? '',
       path: url.pathname.slice(0, MAX_LOGGED_PATH_CHARS),
@@ -125,7 +125,8 @@
       return answerSchema(res, url.pathname.slice(SCHEMA_PATH.length));
     }
     const route = ADMIN_ROUTES.find(
-      one => one.method === req.method && one.path === url.pathname,
+      candidate =>
+        candidate.method === req.method && candidate.path === url.pathname,
     );
     if (!route) return fail(createError('not_found'));
     const allowed = checkAllowed(route, call);
@@ -165,11 +166,13 @@
 
   private createCall(principal: Principal, url: URL): AdminCall {
     const {tenants, admin} = this.settings;
-    const own = [...tenants].filter(([, team]) => team === principal.team);
+    const ownTenants = [...tenants].filter(
+      ([, team]) => team === principal.team,
+    );
     return {
       principal,
       isPlatformTeam: admin.platformTeam === principal.team,
-      tenants: new Set<TenantId>(own.map(([tenant]) => tenant)),
+      tenants: new Set<TenantId>(ownTenants.map(([tenant]) => tenant)),
       query: url.searchParams,
       body: undefined,
     };
--- a/packages/daemon/src/admin/vm_admin_backend.ts
+++ b/packages/daemon/src/admin/vm_admin_backend.ts
@@ -51,9 +51,9 @@
 const AUDIT_READ_TIMEOUT_MS = 5000;
 /** Blocks looked at for one answer; the asker goes on from `next`. */
 const MAX_AUDIT_BLOCKS = 200;
-const STEP_LEASE = /^step:([^/]+)\//;
+const STEP_LEASE_PATTERN = /^step:([^/]+)\//;
 
-const MEMBER_STATES = {
+const VM_STATES = {
   alive: 'live',
   leaving: 'leaving',
   suspect: 'suspect',
@@ -62,7 +62,7 @@
 
 /** What is read of a block of the stream `audit`. */
 const auditBlockSchema = z.object({entries: z.array(z.json())});
-const auditedSchema = z.looseObject({
+const auditNamesSchema = z.looseObject({
   team: z.string().optional(),
   request: z.string().optional(),
   step: z.string().optional(),
@@ -108,7 +108,7 @@
     return this.options.peers.listMembers().map(member => ({
       id: member.id,
       dataCentre: member.dataCentre,
-      state: MEMBER_STATES[member.state],
+      state: VM_STATES[member.state],
       peerAddress: member.peerAddress,
       configNext: null,
     }));
@@ -117,7 +117,7 @@
   listEndpoints(): readonly EndpointEntry[] {
     const {endpoints, dispatcher} = this.options;
     const statuses = new Map(
-      dispatcher.scheduler.listEndpoints().map(one => [one.id, one]),
+      dispatcher.scheduler.listEndpoints().map(status => [status.id, status]),
     );
     return endpoints.listEndpoints().map(endpoint => {
       const status = statuses.get(endpoint.id);
@@ -152,7 +152,7 @@
     const nowMs = log.estimateLogNowMs();
     return log.state.leases.list().map(lease => ({
       name: lease.name,
-      tenant: STEP_LEASE.exec(lease.name)?.[1] ?? null,
+      tenant: STEP_LEASE_PATTERN.exec(lease.name)?.[1] ?? null,
       vm: lease.vm,
       fencing: lease.fencing,
       held: log.state.leases.isHeld(lease, nowMs),
@@ -187,7 +187,9 @@
     }
   }
 
-  listRecorded(tenants: ReadonlySet<TenantId>): readonly RecordedRequest[] {
+  listRecordedRequests(
+    tenants: ReadonlySet<TenantId>,
+  ): readonly RecordedRequest[] {
     return this.options.metrics.recorder.list(tenants);
   }
 
@@ -214,7 +216,7 @@
     if (!page.ok) return page;
     const records = page.value.records.flatMap(({offset, timeMs, record}) =>
       listEntries(record)
-        .filter(entry => isWanted(entry, team, subject))
+        .filter(entry => matchesQuery(entry, team, subject))
         .map(entry => ({offset, timeMs, record: entry})),
     );
     return succeed({records, next: page.value.next});
@@ -273,12 +275,12 @@
 }
 
 /** Entries of other teams are nobody else's to read. */
-function isWanted(
+function matchesQuery(
   entry: unknown,
   team: TeamId,
   subject: string | undefined,
 ): boolean {
-  const parsed = auditedSchema.safeParse(entry);
+  const parsed = auditNamesSchema.safeParse(entry);
   if (!parsed.success || parsed.data.team !== team) return false;
   return subject === undefined || concernsSubject(parsed.data, subject);
 }
--- a/packages/daemon/src/apps/app_api.ts
+++ b/packages/daemon/src/apps/app_api.ts
@@ -20,7 +20,7 @@
   Caller,
   createRouteHeaders,
   identifyCaller,
-  readFacts,
+  readRuleFacts,
   readSingleHeader,
 } from '../callers/caller.js';
 import type {Dispatcher} from '../scheduling/dispatcher.js';
@@ -80,7 +80,7 @@
     const caller = identifyCaller(req, rules);
     if (!caller.ok) return this.refuse(res, caller.error);
     const {tenant, team} = caller.value;
-    const route = rules.resolve(team, readFacts(req, tenant, dataCentre));
+    const route = rules.resolve(team, readRuleFacts(req, tenant, dataCentre));
     if (!route.ok) return this.refuse(res, route.error);
     const idempotent = resolveIdempotent(req, route.value);
     if (!idempotent.ok) return this.refuse(res, idempotent.error);
@@ -109,15 +109,15 @@
     caller: Caller,
     idempotent: boolean,
   ): Promise<Result<ClaimedId>> {
-    const given = readSingleHeader(req, HEADERS.requestId);
-    if (given === undefined) {
+    const suppliedId = readSingleHeader(req, HEADERS.requestId);
+    if (suppliedId === undefined) {
       return succeed({id: toRequestId(randomUUID()), claimed: false});
     }
-    if (!requestIdPattern.test(given)) {
+    if (!requestIdPattern.test(suppliedId)) {
       const detail = `header ${HEADERS.requestId} is malformed`;
       return fail(createError('bad_request', detail));
     }
-    const id = toRequestId(given);
+    const id = toRequestId(suppliedId);
     if (idempotent) return succeed({id, claimed: false});
     const {tenant} = caller;
     const claimed = await this.options.log.append({
@@ -149,7 +149,7 @@
     idempotent: boolean,
   ): void {
     const {dispatcher, http} = this.options;
-    const work = buildWork(call, body, idempotent);
+    const work = buildWorkItem(call, body, idempotent);
     const startedAtMs = Date.now();
     this.inFlight++;
     const runner = new AppRunner({
@@ -169,7 +169,7 @@
   private finish(call: AppCall, end: AppEnd, durationMs: number): void {
     this.inFlight--;
     const {caller, route, id} = call;
-    if (call.claimed && !canHaveRun(end)) this.releaseRequest(call);
+    if (call.claimed && !mayHaveRun(end)) this.releaseRequest(call);
     this.options.logger.log(end.error ? 'warn' : 'debug', 'request ended', {
       requestId: id,
       tenant: caller.tenant,
@@ -197,9 +197,9 @@
   readonly route: Route;
 }
 
-let nextWork = 1;
+let nextWorkNumber = 1;
 
-function buildWork(
+function buildWorkItem(
   call: AppCall,
   body: Buffer | undefined,
   idempotent: boolean,
@@ -211,7 +211,7 @@
     ? `${target} ${computeDigest(body.toString('latin1'))}`
     : target;
   return {
-    id: `app/${nextWork++}`,
+    id: `app/${nextWorkNumber++}`,
     tenant: caller.tenant,
     workClass: action.workClass ?? 'interactive',
     group: action.group,
@@ -233,7 +233,7 @@
 }
 
 /** Whether an endpoint can have received the request. */
-function canHaveRun(end: AppEnd): boolean {
+function mayHaveRun(end: AppEnd): boolean {
   if (end.attempts.length === 0) return false;
   return end.error === undefined || resolveRan(end.error) !== 'no';
 }
--- a/packages/daemon/src/apps/app_runner.ts
+++ b/packages/daemon/src/apps/app_runner.ts
@@ -62,7 +62,7 @@
   constructor(private readonly options: AppRunnerOptions) {
     super();
     options.res.once('close', () =>
-      this.leave(createError('cancelled', 'the caller left')),
+      this.abort(createError('cancelled', 'the caller left')),
     );
   }
 
@@ -82,7 +82,7 @@
           [HEADERS.ran]: 'yes',
         },
         progressTimeoutMs,
-        onHead: () => this.options.dispatcher.noteOutput(this.options.workId),
+        onHead: () => this.options.dispatcher.recordOutput(this.options.workId),
       },
       res,
     );
@@ -91,12 +91,12 @@
       endpoint: endpoint.id,
       startedAtMs: Date.now(),
     });
-    void forward.run().then(end => this.finish(action.attempt, end));
+    void forward.run().then(end => this.onAttemptEnd(action.attempt, end));
   }
 
   stop(attempt: number): void {
     this.running.get(attempt)?.forward.stop();
-    this.close(attempt, 'stopped');
+    this.closeAttempt(attempt, 'stopped');
   }
 
   done(): void {
@@ -109,14 +109,14 @@
     this.end(res.statusCode, error);
   }
 
-  private finish(attempt: number, end: ForwardEnd): void {
-    const how = end.kind === 'failed' ? end.failure : end.kind;
-    if (!this.close(attempt, how)) return;
+  private onAttemptEnd(attempt: number, end: ForwardEnd): void {
+    const attemptEnd = end.kind === 'failed' ? end.failure : end.kind;
+    if (!this.closeAttempt(attempt, attemptEnd)) return;
     // Once the caller has the head of an answer no other attempt can give it
     // the rest: the connection is broken so that half is not taken for whole.
     const {workId, dispatcher, res} = this.options;
     if (end.kind === 'failed' && end.answered) {
-      this.leave(createError('endpoint_failed', 'it failed while it answered'));
+      this.abort(createError('endpoint_failed', 'it failed while it answered'));
       res.destroy();
       return;
     }
@@ -129,18 +129,18 @@
   }
 
   /** The caller will not have the whole answer. */
-  private leave(error: RadishyokeError): void {
+  private abort(error: RadishyokeError): void {
     if (this.ended || this.options.res.writableFinished) return;
     for (const [attempt, {forward}] of [...this.running]) {
       forward.stop();
-      this.close(attempt, 'stopped');
+      this.closeAttempt(attempt, 'stopped');
     }
     this.options.dispatcher.cancel(this.options.workId);
     this.end(0, error);
   }
 
   /** Notes the end of an attempt; returns whether it was still running. */
-  private close(attempt: number, end: AppAttempt['end']): boolean {
+  private closeAttempt(attempt: number, end: AppAttempt['end']): boolean {
     const running = this.running.get(attempt);
     if (!running) return false;
     this.running.delete(attempt);
--- a/packages/daemon/src/audit/audit_recorder.ts
+++ b/packages/daemon/src/audit/audit_recorder.ts
@@ -34,11 +34,11 @@
   constructor(private readonly options: AuditRecorderOptions) {}
 
   start(): void {
-    void this.options.log.changes.observe(change => this.takeChange(change));
+    void this.options.log.changes.observe(change => this.onLogChange(change));
   }
 
   /** A run of a sample is over; its entry is made when the log has a winner. */
-  noteAttempts(
+  recordAttempts(
     {key}: StepLedger,
     ref: SampleRef,
     attempts: readonly EndedSampleAttempt[],
@@ -55,7 +55,7 @@
   }
 
   /** An app's request has ended. */
-  noteRequest({caller, requestId, route, end}: AppRecord): void {
+  recordRequest({caller, requestId, route, end}: AppRecord): void {
     this.options.record({
       kind: 'request',
       atMs: Date.now(),
@@ -69,17 +69,17 @@
     });
   }
 
-  private takeChange(change: LogChange): void {
-    if (change.kind === 'config') return this.noteConfig(change);
+  private onLogChange(change: LogChange): void {
+    if (change.kind === 'config') return this.recordConfig(change);
     if (change.kind !== 'state') return;
     const {record, verdict} = change.judged;
     if (verdict.kind !== 'accepted' || verdict.committed === undefined) return;
     if (!this.options.log.isOwn(record.value.stamp)) return;
     if (record.value.kind !== 'samples_committed') return;
-    this.noteCommits(record as LoggedRecord<CommitRecord>, verdict.committed);
+    this.recordCommits(record as LoggedRecord<CommitRecord>, verdict.committed);
   }
 
-  private noteConfig({outcome}: Extract<LogChange, {kind: 'config'}>): void {
+  private recordConfig({outcome}: Extract<LogChange, {kind: 'config'}>): void {
     if (outcome.kind !== 'accepted') return;
     const version = this.findVersion(outcome.version);
     if (version === undefined) return;
@@ -103,7 +103,7 @@
       .find(current => current?.version === offset);
   }
 
-  private noteCommits(
+  private recordCommits(
     {value}: LoggedRecord<CommitRecord>,
     committed: readonly CommittedSample[],
   ): void {
@@ -138,23 +138,23 @@
     winner: CommittedSample,
   ): readonly AuditAttempt[] {
     const step = this.attempts.get(ledger.key);
-    const seen = step?.get(formatSampleKey(winner)) ?? [];
+    const observed = step?.get(formatSampleKey(winner)) ?? [];
     step?.delete(formatSampleKey(winner));
-    const told = listAttempts(ledger, winner).filter(
-      ({attempt}) => !seen.some(entry => entry.attempt === attempt),
+    const logged = listLoggedAttempts(ledger, winner).filter(
+      ({attempt}) => !observed.some(entry => entry.attempt === attempt),
     );
-    return [...told, ...seen].sort((a, b) => a.attempt - b.attempt);
+    return [...logged, ...observed].sort((a, b) => a.attempt - b.attempt);
   }
 }
 
 /** The attempts that the log tells of; only the winner's spans are on it. */
-function listAttempts(
+function listLoggedAttempts(
   ledger: StepLedger,
   winner: CommittedSample,
 ): readonly AuditAttempt[] {
-  const {group, sample, attempt: won, shortfall} = winner;
+  const {group, sample, attempt: winningAttempt, shortfall} = winner;
   return ledger.listAttempts(group, sample).map(({attempt, endpoint}) => {
-    const isWinner = attempt === won && shortfall === undefined;
+    const isWinner = attempt === winningAttempt && shortfall === undefined;
     return {
       attempt,
       endpoint,
--- a/packages/daemon/src/audit/audit_task.ts
+++ b/packages/daemon/src/audit/audit_task.ts
@@ -30,9 +30,9 @@
 const MIN_FLUSH_MS = 1000;
 /** Appends of this VM's share between two of the audit's: it takes a third. */
 const SHARES_PER_FLUSH = 3;
-const ANCHOR_EVERY_MS = 60_000;
+const ANCHOR_INTERVAL_MS = 60_000;
 /** Foreign heads named in one block. */
-const MAX_WITNESSED = 8;
+const MAX_WITNESSED_PER_BLOCK = 8;
 
 interface Gap {
   readonly fromMs: number;
@@ -73,7 +73,7 @@
   }
 
   start(): void {
-    void this.log.changes.observe(change => this.witness(change));
+    void this.log.changes.observe(change => this.recordForeignHead(change));
     this.schedule();
   }
 
@@ -130,10 +130,10 @@
     this.blocksInFlight++;
     const entries = this.waiting.splice(0, MAX_ENTRIES_PER_BLOCK);
     this.reportGap();
-    const block = this.chain.seal(entries, this.takeWitnessed());
-    const offset = await this.writer.append(block);
+    const block = this.chain.seal(entries, this.takeForeignHeads());
+    const appended = await this.writer.append(block);
     this.blocksInFlight--;
-    if (offset.ok) this.anchor({...block, offset: offset.value});
+    if (appended.ok) this.publishHead({...block, offset: appended.value});
   }
 
   /**
@@ -147,23 +147,26 @@
     this.gap = undefined;
   }
 
-  private takeWitnessed(): readonly LoggedHead[] {
-    const heads = [...this.foreignHeads.values()].slice(0, MAX_WITNESSED);
+  private takeForeignHeads(): readonly LoggedHead[] {
+    const heads = [...this.foreignHeads.values()].slice(
+      0,
+      MAX_WITNESSED_PER_BLOCK,
+    );
     for (const head of heads) this.foreignHeads.delete(head.writer);
     return heads;
   }
 
   /** Tells the other VMs of this chain's head once in a while. */
-  private anchor({number, hash, offset}: LoggedHead): void {
+  private publishHead({number, hash, offset}: LoggedHead): void {
     const nowMs = performance.now();
-    if (nowMs - this.anchoredAtMs < ANCHOR_EVERY_MS && !this.stopped) return;
+    if (nowMs - this.anchoredAtMs < ANCHOR_INTERVAL_MS && !this.stopped) return;
     if (number <= this.anchoredNumber) return;
     this.anchoredAtMs = nowMs;
     this.anchoredNumber = number;
     void this.log.append({kind: 'audit_anchored', number, hash, offset});
   }
 
-  private witness(change: LogChange): void {
+  private recordForeignHead(change: LogChange): void {
     if (change.kind !== 'state') return;
     const {value} = change.judged.record;
     if (value.kind !== 'audit_anchored') return;
--- a/packages/daemon/src/callers/caller.ts
+++ b/packages/daemon/src/callers/caller.ts
@@ -43,7 +43,7 @@
 }
 
 /** Facts of `req` by which its rule is found. */
-export function readFacts(
+export function readRuleFacts(
   req: IncomingMessage,
   tenant: TenantId,
   dataCentre: DataCentreId,
--- a/packages/daemon/src/callers/caller_server.ts
+++ b/packages/daemon/src/callers/caller_server.ts
@@ -17,9 +17,9 @@
   readonly apps: AppApi;
   readonly logger: Logger;
   /** Why this VM refuses requests, if so. */
-  readonly findObstacle: () => RadishyokeError | undefined;
+  readonly findRefusal: () => RadishyokeError | undefined;
   /** Why this VM is not ready, if so; while it drains, some time before it refuses. */
-  readonly findReadyObstacle: () => RadishyokeError | undefined;
+  readonly findReadinessFailure: () => RadishyokeError | undefined;
 }
 
 /** Time a kept-alive connection may stand idle; longer than balancers keep it. */
@@ -68,15 +68,15 @@
   ): Promise<void> {
     const path = req.url ?? '/';
     if (path === '/healthz') return sendJson(res, 200, {healthy: true});
-    if (path === '/readyz') return this.answerReady(res);
-    const obstacle = this.options.findObstacle();
-    if (obstacle) {
+    if (path === '/readyz') return this.answerReadiness(res);
+    const refusal = this.options.findRefusal();
+    if (refusal) {
       // The balancer sees a draining VM late; a caller told to go elsewhere
       // must not come back over the same connection.
       res.setHeader('connection', 'close');
-      return sendError(res, obstacle);
+      return sendError(res, refusal);
     }
-    this.guardBody(req);
+    this.enforceBodyTimeout(req);
     try {
       if (StepApi.matches(path)) await this.options.steps.handle(req, res);
       else await this.options.apps.handle(req, res);
@@ -89,23 +89,23 @@
     }
   }
 
-  private answerReady(res: http.ServerResponse): void {
-    const obstacle = this.options.findReadyObstacle();
-    if (obstacle) sendError(res, obstacle);
+  private answerReadiness(res: http.ServerResponse): void {
+    const failure = this.options.findReadinessFailure();
+    if (failure) sendError(res, failure);
     else sendJson(res, 200, {ready: true});
   }
 
   /** Cuts off a caller that stops in the middle of its request's body. */
-  private guardBody(req: http.IncomingMessage): void {
+  private enforceBodyTimeout(req: http.IncomingMessage): void {
     const {slowWriterTimeoutMs} = this.options.limits;
     const {socket} = req;
-    const cut = () => {
+    const closeIfIncomplete = () => {
       if (!req.complete) socket.destroy();
     };
-    socket.setTimeout(slowWriterTimeoutMs, cut);
+    socket.setTimeout(slowWriterTimeoutMs, closeIfIncomplete);
     req.once('close', () => {
       socket.setTimeout(0);
-      socket.off('timeout', cut);
+      socket.off('timeout', closeIfIncomplete);
     });
   }
 }
--- a/packages/daemon/src/scheduling/__tests__/order_task.spec.ts
+++ b/packages/daemon/src/scheduling/__tests__/order_task.spec.ts
@@ -26,12 +26,12 @@
 
 /** A log task whose own clock says once that its session may be over. */
 class DoubtingLogTask extends LogTask {
-  doubts = false;
+  isSessionDoubted = false;
 
   override holds(held: HeldLease): boolean {
-    const {doubts} = this;
-    this.doubts = false;
-    return !doubts && super.holds(held);
+    const {isSessionDoubted} = this;
+    this.isSessionDoubted = false;
+    return !isSessionDoubted && super.holds(held);
   }
 }
 
@@ -90,14 +90,14 @@
   });
   task.start();
   orders.start();
-  const serves = async (version: number) => {
+  const publishAndAwaitLoad = async (version: number) => {
     weightStore.publish(MODEL, version);
     while (engine.readWeightVersion() < version) await sleep(POLL_MS);
   };
-  await serves(2);
+  await publishAndAwaitLoad(2);
   const before = task.state.leases.find(buildOrdersLeaseName(MODEL))?.fencing;
-  task.doubts = true;
-  await serves(3);
+  task.isSessionDoubted = true;
+  await publishAndAwaitLoad(3);
   t.is(task.state.leases.find(buildOrdersLeaseName(MODEL))?.fencing, before);
 });
 
--- a/packages/daemon/src/scheduling/dispatcher.ts
+++ b/packages/daemon/src/scheduling/dispatcher.ts
@@ -28,13 +28,13 @@
 }
 
 /** What the dispatcher tells other tasks. */
-export type DispatcherNotice = Extract<
+export type CrashNotice = Extract<
   SchedulerAction,
   {readonly kind: 'report_crash'}
 >;
 
 /** One attempt that was begun. */
-export interface WorkStart {
+export interface AttemptStart {
   readonly item: WorkItem;
   readonly attempt: number;
   /** Time since the work was submitted. */
@@ -45,7 +45,7 @@
 export interface FirstOutput {
   readonly item: WorkItem;
   /** Time since the work was submitted. */
-  readonly sinceMs: number;
+  readonly elapsedMs: number;
 }
 
 /** Works of one tenant and class. */
@@ -67,14 +67,14 @@
 const adoptedAttempt = 1;
 
 /** How often the scheduler is asked whether a timeout is due, ms. */
-const tickMs = 100;
+const tickIntervalMs = 100;
 
 export class Dispatcher {
   private readonly events = createMailbox<SchedulerEvent>();
-  private readonly startBox = createMailbox<WorkStart>();
-  private readonly outputBox = createMailbox<FirstOutput>();
+  private readonly startMailbox = createMailbox<AttemptStart>();
+  private readonly firstOutputMailbox = createMailbox<FirstOutput>();
   private readonly submitted = new Map<string, SubmittedWork>();
-  private readonly noticeBox = createMailbox<DispatcherNotice>();
+  private readonly noticeMailbox = createMailbox<CrashNotice>();
   private readonly runners = new Map<string, WorkRunner>();
   private readonly endpoints = new Map<EndpointId, EndpointInfo>();
   private readonly inFlight = new Map<EndpointId, number>();
@@ -82,30 +82,30 @@
   private readonly ticker: NodeJS.Timeout;
 
   /** Crashes to be told to the other VMs. */
-  readonly notices = this.noticeBox.messages;
+  readonly notices = this.noticeMailbox.messages;
 
   /** Attempts as they begin. */
-  readonly starts = this.startBox.messages;
+  readonly starts = this.startMailbox.messages;
 
   /** Works of which the first byte or token has come. */
-  readonly firstOutputs = this.outputBox.messages;
+  readonly firstOutputs = this.firstOutputMailbox.messages;
 
   constructor(readonly scheduler: Scheduler) {
     void this.events.messages.observe(event => this.handle(event));
-    this.ticker = setInterval(() => this.post({kind: 'tick'}), tickMs);
+    this.ticker = setInterval(() => this.post({kind: 'tick'}), tickIntervalMs);
   }
 
   /** Queues `work`; `runner` hears what becomes of it. */
   submit(work: WorkItem, runner: WorkRunner): void {
     this.runners.set(work.id, runner);
-    this.note(work, 0);
+    this.recordSubmission(work, 0);
     this.post({kind: 'enqueue', work});
   }
 
   /** Takes work over whose first attempt already runs on `endpoint`. */
   adopt(work: WorkItem, runner: WorkRunner, endpoint: EndpointId): void {
     this.runners.set(work.id, runner);
-    this.note(work, adoptedAttempt);
+    this.recordSubmission(work, adoptedAttempt);
     this.countStart(work.id, adoptedAttempt, endpoint);
     this.post({kind: 'adopt', work, attempt: adoptedAttempt, endpoint});
   }
@@ -136,12 +136,12 @@
   }
 
   /** A byte or token of the work's output has come. */
-  noteOutput(workId: string): void {
+  recordOutput(workId: string): void {
     const work = this.submitted.get(workId);
     if (!work || work.hasOutput) return;
     work.hasOutput = true;
-    const sinceMs = Date.now() - work.submittedAtMs;
-    this.outputBox.post({item: work.item, sinceMs});
+    const elapsedMs = Date.now() - work.submittedAtMs;
+    this.firstOutputMailbox.post({item: work.item, elapsedMs: elapsedMs});
   }
 
   /** Works by tenant and class. */
@@ -152,12 +152,12 @@
       const {tenant, workClass} = item;
       const key = `${workClass}/${tenant}`;
       const {waiting, running} = counts.get(key) ?? {waiting: 0, running: 0};
-      const one = attempts > 0 ? 1 : 0;
+      const startedCount = attempts > 0 ? 1 : 0;
       counts.set(key, {
         tenant,
         workClass,
-        waiting: waiting + 1 - one,
-        running: running + one,
+        waiting: waiting + 1 - startedCount,
+        running: running + startedCount,
       });
     }
     return [...counts.values()];
@@ -168,15 +168,15 @@
   }
 
   private handle(event: SchedulerEvent): void {
-    if (event.kind === 'endpoints') this.noteEndpoints(event.endpoints);
-    if (event.kind === 'progress') this.noteOutput(event.workId);
+    if (event.kind === 'endpoints') this.updateEndpoints(event.endpoints);
+    if (event.kind === 'progress') this.recordOutput(event.workId);
     if (event.kind === 'ended') this.release(event.workId, event.attempt);
     for (const action of this.scheduler.handle(event, Date.now())) {
-      this.carryOut(action);
+      this.execute(action);
     }
   }
 
-  private note(item: WorkItem, attempts: number): void {
+  private recordSubmission(item: WorkItem, attempts: number): void {
     this.submitted.set(item.id, {
       item,
       attempts,
@@ -192,22 +192,22 @@
     this.submitted.delete(workId);
   }
 
-  private tellStart({workId, attempt}: StartAction): void {
+  private publishStart({workId, attempt}: StartAction): void {
     const work = this.submitted.get(workId);
     if (!work) return;
     work.attempts++;
     const waitedMs = Date.now() - work.submittedAtMs;
-    this.startBox.post({item: work.item, attempt, waitedMs});
+    this.startMailbox.post({item: work.item, attempt, waitedMs});
   }
 
-  private noteEndpoints(endpoints: readonly EndpointInfo[]): void {
+  private updateEndpoints(endpoints: readonly EndpointInfo[]): void {
     this.endpoints.clear();
     for (const endpoint of endpoints) this.endpoints.set(endpoint.id, endpoint);
   }
 
-  private carryOut(action: SchedulerAction): void {
+  private execute(action: SchedulerAction): void {
     if (action.kind === 'report_crash') {
-      this.noticeBox.post(action);
+      this.noticeMailbox.post(action);
       return;
     }
     const runner = this.runners.get(action.workId);
@@ -238,7 +238,7 @@
       return;
     }
     this.countStart(action.workId, action.attempt, action.endpoint);
-    this.tellStart(action);
+    this.publishStart(action);
     runner.start(action, endpoint);
   }
 
@@ -256,8 +256,8 @@
     const endpoint = this.attemptEndpoints.get(key);
     if (endpoint === undefined) return;
     this.attemptEndpoints.delete(key);
-    const left = (this.inFlight.get(endpoint) ?? 1) - 1;
-    if (left > 0) this.inFlight.set(endpoint, left);
+    const remaining = (this.inFlight.get(endpoint) ?? 1) - 1;
+    if (remaining > 0) this.inFlight.set(endpoint, remaining);
     else this.inFlight.delete(endpoint);
   }
 }
--- a/packages/daemon/src/scheduling/endpoint_task.ts
+++ b/packages/daemon/src/scheduling/endpoint_task.ts
@@ -18,7 +18,7 @@
 import {createMailbox} from '../mailbox.js';
 
 /** Time between two looks at the VM list and at each endpoint, ms. */
-const pollMs = 1000;
+const pollIntervalMs = 1000;
 const reportTimeoutMs = 1000;
 
 export interface EndpointTaskOptions {
@@ -30,16 +30,16 @@
 }
 
 export class EndpointTask {
-  private readonly vmBox = createMailbox<readonly VmInfo[]>();
+  private readonly vmMailbox = createMailbox<readonly VmInfo[]>();
   private readonly reports = new Map<EndpointId, LoadReport>();
   private endpoints: readonly EndpointInfo[] = [];
   private vms: readonly VmInfo[] = [];
   private timer: NodeJS.Timeout | undefined;
-  private readonly drained = new Set<EndpointId>();
+  private readonly drainedIds = new Set<EndpointId>();
   private stopped = false;
 
   /** The service's own VMs, each time the list was read. */
-  readonly vmLists = this.vmBox.messages;
+  readonly vmLists = this.vmMailbox.messages;
 
   constructor(private readonly options: EndpointTaskOptions) {}
 
@@ -64,8 +64,8 @@
   /** Gives `id` no more work from this VM, as if the VM list had it leaving. */
   drain(id: EndpointId): boolean {
     if (!this.endpoints.some(endpoint => endpoint.id === id)) return false;
-    this.drained.add(id);
-    this.tellEndpoints(this.endpoints);
+    this.drainedIds.add(id);
+    this.publishEndpoints(this.endpoints);
     return true;
   }
 
@@ -78,7 +78,7 @@
     // One endpoint that answers slowly must not hold up the news of the others.
     for (const endpoint of this.endpoints) void this.readReport(endpoint);
     if (this.stopped) return;
-    this.timer = setTimeout(() => void this.poll(), pollMs);
+    this.timer = setTimeout(() => void this.poll(), pollIntervalMs);
   }
 
   private async readList(): Promise<void> {
@@ -89,14 +89,14 @@
       return;
     }
     this.vms = list.value.vms;
-    this.tellEndpoints(list.value.endpoints);
-    this.vmBox.post(this.vms);
+    this.publishEndpoints(list.value.endpoints);
+    this.vmMailbox.post(this.vms);
   }
 
-  private tellEndpoints(endpoints: readonly EndpointInfo[]): void {
+  private publishEndpoints(endpoints: readonly EndpointInfo[]): void {
     this.endpoints = endpoints.map(endpoint => ({
       ...endpoint,
-      state: this.drained.has(endpoint.id) ? 'leaving' : endpoint.state,
+      state: this.drainedIds.has(endpoint.id) ? 'leaving' : endpoint.state,
     }));
     const {dispatcher, listGroups} = this.options;
     dispatcher.post({kind: 'groups', groups: listGroups()});
--- a/packages/daemon/src/scheduling/order_task.ts
+++ b/packages/daemon/src/scheduling/order_task.ts
@@ -18,10 +18,10 @@
 import type {LogTask} from '../log/log_task.js';
 import type {Logger} from '../logger.js';
 
-const pollMs = 500;
+const pollIntervalMs = 500;
 const callTimeoutMs = 1000;
 const statusStaleFencing = 409;
-const statusBegun = 202;
+const statusAccepted = 202;
 
 export interface OrderTaskOptions {
   readonly log: LogTask;
@@ -40,14 +40,14 @@
 }
 
 export class OrderTask {
-  private readonly held = new Map<string, HeldOrders>();
+  private readonly heldOrders = new Map<string, HeldOrders>();
   private timer: NodeJS.Timeout | undefined;
   private stopped = false;
 
   constructor(private readonly options: OrderTaskOptions) {}
 
   start(): void {
-    this.timer = setTimeout(() => void this.poll(), pollMs);
+    this.timer = setTimeout(() => void this.poll(), pollIntervalMs);
   }
 
   stop(): void {
@@ -63,16 +63,17 @@
       const engines = models.get(endpoint.model) ?? [];
       models.set(endpoint.model, [...engines, endpoint]);
     }
-    for (const [model, engines] of models) await this.serve(model, engines);
+    for (const [model, engines] of models)
+      await this.orderWeights(model, engines);
     if (this.stopped) return;
-    this.timer = setTimeout(() => void this.poll(), pollMs);
+    this.timer = setTimeout(() => void this.poll(), pollIntervalMs);
   }
 
-  private async serve(
+  private async orderWeights(
     model: string,
     engines: readonly EndpointInfo[],
   ): Promise<void> {
-    const held = await this.acquire(model);
+    const held = await this.acquireOrders(model);
     if (!held) return;
     const versions = await this.options.weightStore.listVersions(model, {
       timeoutMs: callTimeoutMs,
@@ -86,18 +87,18 @@
     });
     for (const order of held.rollout.plan(reported, newest, Date.now())) {
       const engine = engines.find(entry => entry.id === order.engine);
-      if (engine) void this.send(engine, order, held.rollout);
+      if (engine) void this.sendOrder(engine, order, held.rollout);
     }
   }
 
-  private async acquire(model: string): Promise<HeldOrders | undefined> {
+  private async acquireOrders(model: string): Promise<HeldOrders | undefined> {
     const {log} = this.options;
     const name = buildOrdersLeaseName(model);
-    const held = this.held.get(name);
+    const held = this.heldOrders.get(name);
     if (held && !held.rollout.isSuperseded && log.holds(held.lease)) {
       return held;
     }
-    this.held.delete(name);
+    this.heldOrders.delete(name);
     if (held?.rollout.isSuperseded) await log.release(held.lease);
     const current = log.state.leases.find(name);
     const isHeld =
@@ -109,23 +110,23 @@
     const claimed = await log.claim(name);
     if (!claimed.ok) return undefined;
     const fencing = claimed.value;
-    const taken = {
+    const acquired = {
       lease: {lease: name, fencing},
       rollout: new WeightRollout(fencing, {
         ...DEFAULT_ROLLOUT_OPTIONS,
         fetchesPerSecond: this.options.fetchesPerSecond,
       }),
     };
-    this.held.set(name, taken);
-    return taken;
+    this.heldOrders.set(name, acquired);
+    return acquired;
   }
 
-  private async send(
+  private async sendOrder(
     engine: EndpointInfo,
     order: LoadOrder,
     rollout: WeightRollout,
   ): Promise<void> {
-    const outcome = await this.post(engine, order);
+    const outcome = await this.postOrder(engine, order);
     rollout.recordOutcome(order, outcome, Date.now());
     const {version, fencing} = order;
     this.options.logger.log(
@@ -135,7 +136,7 @@
     );
   }
 
-  private async post(
+  private async postOrder(
     engine: EndpointInfo,
     order: LoadOrder,
   ): Promise<OrderOutcome> {
@@ -151,7 +152,7 @@
         bodyTimeout: callTimeoutMs,
       });
       await res.body.dump();
-      if (res.statusCode === statusBegun) return 'begun';
+      if (res.statusCode === statusAccepted) return 'begun';
       return res.statusCode === statusStaleFencing ? 'stale_fencing' : 'failed';
     } catch {
       return 'unknown';
--- a/packages/daemon/src/settings/settings.ts
+++ b/packages/daemon/src/settings/settings.ts
@@ -135,7 +135,7 @@
     const tenants = this.readTenants();
     const tokens = this.sections.flatMap(section => this.readToken(section));
     this.reportUnknownSections();
-    this.checkTogether(values);
+    this.checkCombinations(values);
     if (this.problems.length > 0) return fail(this.problems);
     return succeed(toSettings(values, tenants, tokens));
   }
@@ -143,22 +143,22 @@
   private readKnownSections(): SettingsValues {
     const values: Record<string, unknown> = {};
     for (const [name, spec] of Object.entries(SETTINGS_SPEC)) {
-      values[name] = this.readKeys(this.find(name), spec);
+      values[name] = this.readKeys(this.findSection(name), spec);
     }
     return values as SettingsValues;
   }
 
   private readTenants(): ReadonlyMap<TenantId, TeamId> {
-    const section = this.find('tenants');
+    const section = this.findSection('tenants');
     const spec: Record<string, typeof TENANT_SPEC> = {};
     for (const {key} of section.entries) spec[key] = TENANT_SPEC;
     const teams = Object.entries(this.readKeys(section, spec));
     if (teams.length === 0) {
-      this.report(section, '', 'at least one tenant', 'none');
+      this.addProblem(section, '', 'at least one tenant', 'none');
     }
     for (const [tenant] of teams) {
       if (TENANT_SPEC.type.schema.safeParse(tenant).success) continue;
-      this.report(section, tenant, TENANT_SPEC.type.expected, tenant);
+      this.addProblem(section, tenant, TENANT_SPEC.type.expected, tenant);
     }
     return new Map(
       teams.map(([tenant, team]) => [toTenantId(tenant), toTeamId(team)]),
@@ -174,33 +174,38 @@
   }
 
   private reportUnknownSections(): void {
-    const known = [...Object.keys(SETTINGS_SPEC), 'tenants'];
+    const knownNames = [...Object.keys(SETTINGS_SPEC), 'tenants'];
     for (const section of this.sections) {
-      if (known.includes(section.name)) continue;
+      if (knownNames.includes(section.name)) continue;
       if (TOKEN_SECTION.test(section.name)) continue;
-      const expected = `one of [${known.join('], [')}], [token.NAME]`;
-      this.report(section, '', expected, 'another section');
+      const expected = `one of [${knownNames.join('], [')}], [token.NAME]`;
+      this.addProblem(section, '', expected, 'another section');
     }
   }
 
-  private checkTogether({vm, leases}: SettingsValues): void {
+  private checkCombinations({vm, leases}: SettingsValues): void {
     // A renewal that comes in the last moment is late after one slow append, and
     // every step of the VM moves to another owner.
     if (leases.session_renewal * 2 > leases.session_ttl) {
-      this.report(
-        this.find('leases'),
+      this.addProblem(
+        this.findSection('leases'),
         'session_renewal',
         'at most half of session_ttl',
         `${leases.session_renewal}ms of ${leases.session_ttl}ms`,
       );
     }
     const listeners = [vm.caller_address, vm.peer_address, vm.admin_address];
-    const fixed = listeners.filter(
+    const fixedAddresses = listeners.filter(
       address => address && !address.endsWith(':0'),
     );
-    if (new Set(fixed).size < fixed.length) {
+    if (new Set(fixedAddresses).size < fixedAddresses.length) {
       const expected = 'another address for each listener';
-      this.report(this.find('vm'), '', expected, 'one address twice');
+      this.addProblem(
+        this.findSection('vm'),
+        '',
+        expected,
+        'one address twice',
+      );
     }
   }
 
@@ -212,12 +217,12 @@
   }
 
   /** The section, or an empty one: each may be left out if no key is required. */
-  private find(name: string): IniSection {
+  private findSection(name: string): IniSection {
     const section = this.sections.find(s => s.name === name);
     return section ?? {name, line: 0, entries: []};
   }
 
-  private report(
+  private addProblem(
     section: IniSection,
     key: string,
     expected: string,
--- a/packages/daemon/src/steps/step_api.ts
+++ b/packages/daemon/src/steps/step_api.ts
@@ -18,7 +18,7 @@
   Caller,
   createRouteHeaders,
   identifyCaller,
-  readFacts,
+  readRuleFacts,
   readSingleHeader,
 } from '../callers/caller.js';
 import type {Route, RuleRegistry} from '../rule_registry.js';
@@ -121,7 +121,7 @@
     if (!req.ok) return req.error;
     const {rules, dataCentre, directory} = this.options;
     const {tenant, team} = call.caller;
-    const facts = readFacts(call.req, tenant, dataCentre, {
+    const facts = readRuleFacts(call.req, tenant, dataCentre, {
       workClass: 'rollout',
       model: req.value.model,
     });
--- a/packages/daemon/src/vm.ts
+++ b/packages/daemon/src/vm.ts
@@ -170,7 +170,7 @@
       logger,
       onEnd: record => {
         this.metrics.recordApp(record);
-        this.auditRecorder.noteRequest(record);
+        this.auditRecorder.recordRequest(record);
       },
     });
     this.server = new CallerServer({
@@ -187,8 +187,8 @@
       }),
       apps: this.apps,
       logger,
-      findObstacle: () => this.findRefusal(),
-      findReadyObstacle: () => this.findReadinessFailure(),
+      findRefusal: () => this.findRefusal(),
+      findReadinessFailure: () => this.findReadinessFailure(),
     });
     this.admin = this.createAdmin();
   }
@@ -340,7 +340,7 @@
       maxOpenSteps: limits.maxOpenSteps,
       resolveRoute: ledger => this.resolveStepRoute(ledger),
       onRunEnd: (ledger, ref, attempts) =>
-        this.auditRecorder.noteAttempts(ledger, ref, attempts),
+        this.auditRecorder.recordAttempts(ledger, ref, attempts),
       onWasted: (ledger, tokens) => this.metrics.recordWasted(ledger, tokens),
       onSettled: (ledger, output) => this.metrics.recordSettled(ledger, output),
       onEnd: (ledger, end) => {
--- a/packages/daemon/src/vm_metrics.ts
+++ b/packages/daemon/src/vm_metrics.ts
@@ -8,7 +8,7 @@
 import type {Result} from '@radishyoke/shared/result';
 import {measureStaleness} from '@radishyoke/shared/rollout';
 import type {AppRecord} from './apps/app_api.js';
-import type {FirstOutput, WorkStart} from './scheduling/dispatcher.js';
+import type {FirstOutput, AttemptStart} from './scheduling/dispatcher.js';
 import type {Route} from './rule_registry.js';
 import type {StepEnd} from './steps/step_task.js';
 
@@ -35,7 +35,7 @@
     }
   }
 
-  recordStart({item, attempt, waitedMs}: WorkStart): void {
+  recordStart({item, attempt, waitedMs}: AttemptStart): void {
     const {tenant, workClass} = item;
     if (attempt === FIRST_ATTEMPT) {
       this.registry.recordValue('queue_wait', tenant, workClass, waitedMs);
@@ -44,13 +44,13 @@
     }
   }
 
-  recordFirstOutput({item, sinceMs}: FirstOutput): void {
+  recordFirstOutput({item, elapsedMs}: FirstOutput): void {
     const {tenant, workClass} = item;
     this.registry.recordValue(
       'time_to_first_token',
       tenant,
       workClass,
-      sinceMs,
+      elapsedMs,
     );
   }
 
