--- a/packages/daemon/src/admin/__tests__/admin_server.spec.ts
+++ b/packages/daemon/src/admin/__tests__/admin_server.spec.ts
@@ -76,7 +76,7 @@
   readonly authorization: (
     bearer: (name: string) => string,
   ) => string | undefined;
-  /** Status for reading steps, dry-running, publishing, draining, auditing and metrics. */
+  /** Status of: steps, dry run, publication, drain, audit, metrics. */
   readonly statuses: readonly [number, number, number, number, number, number];
 }
 
@@ -171,10 +171,9 @@
   });
 }
 
-// A captured publication is sent again to bring old rules back.
-// 1. An operator publishes version A, then B.
-// 2. The request that published A is replayed, token and all.
-// Cause: the token is still valid; only the version it was based on tells.
+// Guards against restoring old rules by replaying a captured publication. After
+// versions A and B are published, the request that published A is sent again.
+// Its token is still valid; only its `basedOn` version is outdated.
 test('a replayed publication changes nothing', async t => {
   const {server, backend, call, bearer} = await createFixture();
   t.teardown(() => server.close());
@@ -191,7 +190,7 @@
   t.regex(backend.listVersions(KODKUTU).at(-1)!.text, /group = b/);
 });
 
-test('the log of accesses holds names that are known and no secrets', async t => {
+test('the access log has only known token names and no secrets', async t => {
   const {server, call, bearer, accesses} = await createFixture();
   t.teardown(() => server.close());
   await call(`${bearer('reader')}x`, '/admin/v1/steps?token=abc');
@@ -208,7 +207,7 @@
     t.false(logged.includes(part));
 });
 
-test('rules are shown, listed, compared and tried out', async t => {
+test('rules can be read, listed, compared and dry-run', async t => {
   const {server, call, bearer} = await createFixture();
   t.teardown(() => server.close());
   for (const [basedOn, group] of [
@@ -278,7 +277,7 @@
     error: 'config_invalid',
   },
   {
-    name: "a group of endpoints by another than the platform's team",
+    name: 'an endpoint group defined by a team other than the platform team',
     path: '/admin/v1/rules',
     body: {
       basedOn: -1,
--- a/packages/daemon/src/admin/__tests__/fake_admin_backend.ts
+++ b/packages/daemon/src/admin/__tests__/fake_admin_backend.ts
@@ -1,4 +1,4 @@
-/** A backend with two teams' data, none of which is asked of a real VM. */
+/** An in-memory backend with fixed data of two teams. */
 
 import {
   type ConfigVersion,
--- a/packages/daemon/src/admin/admin_auth.ts
+++ b/packages/daemon/src/admin/admin_auth.ts
@@ -1,4 +1,4 @@
-/** Decides who a request to the administration API comes from. */
+/** Authenticates requests to the administration API by their bearer token. */
 
 import {createHash, timingSafeEqual} from 'node:crypto';
 import {createError} from '@radishyoke/shared/error_kind';
@@ -14,18 +14,18 @@
   readonly roles: readonly Role[];
 }
 
-/** Hashes that may be computed at once; each takes memory and a thread. */
+/** Most hashes computed at once; each takes memory and a thread. */
 const MAX_CONCURRENT_CHECKS = 2;
-/** Checks that may wait; more are refused. */
+/** Most checks that wait; further ones are refused. */
 const MAX_WAITING_CHECKS = 32;
 
-/** Hash of nothing that exists; checked for names that are not known. */
+/** A hash that no token matches; checked for unknown names. */
 const UNKNOWN_HASH = `scrypt$12$${'A'.repeat(22)}$${'A'.repeat(43)}`;
 
-/** Checks tokens against the settings. */
+/** Checks tokens against the hashes in the settings. */
 export class Authenticator {
   private readonly tokens: ReadonlyMap<string, TokenSettings>;
-  /** Digests of tokens that were found right, so that each is hashed once. */
+  /** SHA-256 of verified tokens by name; saves hashing them by scrypt again. */
   private readonly verifiedDigests = new Map<string, Buffer>();
   private readonly waitingChecks: Array<() => void> = [];
   private runningChecks = 0;
@@ -34,7 +34,7 @@
     this.tokens = new Map(tokens.map(token => [token.name, token]));
   }
 
-  /** Reads an `authorization` header. `nowMs` is Unix time. */
+  /** Authenticates an `authorization` header. `nowMs` is Unix time. */
   async authenticate(
     header: string | undefined,
     nowMs: number,
@@ -45,8 +45,8 @@
     const settings = this.tokens.get(name);
     const checked = await this.check(token, settings);
     if (!checked.ok) return checked;
-    // A wrong and an expired token get the same answer: it tells nobody which
-    // tokens once were valid.
+    // Wrong and expired tokens get the same answer, so that it does not reveal
+    // which tokens were once valid.
     if (!checked.value || !settings || !(nowMs < settings.expiresAtMs)) {
       return fail(createError('unauthorized'));
     }
@@ -54,7 +54,7 @@
     return succeed({tokenName: name, team, roles});
   }
 
-  /** The name in `header` if the settings know it: safe to log. */
+  /** The token name in `header` if the settings define it, thus safe to log. */
   findTokenName(header: string | undefined): string | undefined {
     const name = readTokenName(header?.replace(/^Bearer /i, '') ?? '');
     return name !== undefined && this.tokens.has(name) ? name : undefined;
@@ -67,8 +67,8 @@
     const digest = createHash('sha256').update(token).digest();
     const verified = settings && this.verifiedDigests.get(settings.name);
     if (verified && timingSafeEqual(verified, digest)) return succeed(true);
-    // Unknown names take the same time as known ones, or an attacker learns by
-    // the clock which names exist.
+    // Unknown names take as long as known ones, so that an attacker can not
+    // find existing names by timing.
     return this.runWhenSlotFree(async () => {
       const isMatch = await matchesHash(token, settings?.hash ?? UNKNOWN_HASH);
       if (isMatch && settings) this.verifiedDigests.set(settings.name, digest);
@@ -76,13 +76,15 @@
     });
   }
 
-  /** Runs a check when one of few places is free. */
+  /** Runs a check once a slot is free; refuses it if too many are waiting. */
   private async runWhenSlotFree<T>(run: () => Promise<T>): Promise<Result<T>> {
     if (this.runningChecks >= MAX_CONCURRENT_CHECKS) {
-      // A flood of wrong tokens would take the processor from the work of
-      // callers; it shows as slow answers on the caller listener.
+      // Hashing a flood of wrong tokens would take processor time from callers'
+      // requests and slow down the answers of the caller listener.
       if (this.waitingChecks.length >= MAX_WAITING_CHECKS) {
-        return fail(createError('overloaded', 'too many tokens to check'));
+        return fail(
+          createError('overloaded', 'too many token checks are waiting'),
+        );
       }
       await new Promise<void>(resolve => this.waitingChecks.push(resolve));
     } else {
--- a/packages/daemon/src/admin/admin_backend.ts
+++ b/packages/daemon/src/admin/admin_backend.ts
@@ -1,4 +1,4 @@
-/** What a VM offers to its administration API. */
+/** The interface through which the administration API accesses a VM. */
 
 import type {ConfigVersion} from '@radishyoke/core/rules/config_history';
 import type {MetricRegistry} from '@radishyoke/core/metrics/metrics';
@@ -14,17 +14,17 @@
   VmEntry,
 } from './admin_schema.js';
 
-/** Which audit records are wanted. */
+/** Selects audit records. */
 export interface AuditQuery {
   readonly from: number;
   readonly max: number;
-  /** Only records that name this request, step or rollout. */
+  /** Selects only records that concern this request, step or rollout. */
   readonly subject?: string;
 }
 
 /**
- * Answers are those of the whole VM. The API keeps what belongs to other teams
- * from the asker, so that no backend can forget to.
+ * Lists and metrics cover all teams of the VM. The API removes the data of
+ * other teams from its answers, so that a backend can not omit that check.
  */
 export abstract class AdminBackend {
   abstract readStatus(): AdminAnswer<'status'>;
@@ -38,7 +38,7 @@
   /** Accepted versions of a team's rules, oldest first. */
   abstract listVersions(team: TeamId): readonly ConfigVersion[];
 
-  /** Publishes rules; resolves to their version once the log has decided. */
+  /** Publishes rules; resolves to their version once the log accepted them. */
   abstract publish(publication: {
     readonly team: TeamId;
     readonly basedOn: number;
@@ -50,21 +50,21 @@
     tenants: ReadonlySet<TenantId>,
   ): readonly RecordedRequest[];
 
-  /** Takes a VM or an endpoint out of use; its work in flight goes on. */
+  /** Takes a VM or endpoint out of use; its work in flight continues. */
   abstract drain(
     kind: 'vm' | 'endpoint',
     id: string,
     author: string,
   ): Promise<Result<void>>;
 
-  /** Reads audit records of a team and its tenants. */
+  /** Reads the audit records of a team and its tenants only. */
   abstract readAudit(
     team: TeamId,
     tenants: ReadonlySet<TenantId>,
     query: AuditQuery,
   ): Promise<Result<AdminAnswer<'audit'>>>;
 
-  /** Reads whole blocks, of all teams. */
+  /** Reads complete audit blocks with the entries of all teams. */
   abstract readAuditBlocks(
     from: number,
     max: number,
--- a/packages/daemon/src/admin/admin_route.ts
+++ b/packages/daemon/src/admin/admin_route.ts
@@ -1,4 +1,4 @@
-/** The calls of the administration API and who may make them. */
+/** The routes of the administration API and the role that each requires. */
 
 import {createTwoFilesPatch} from 'diff';
 import type {z} from 'zod';
@@ -25,11 +25,11 @@
 } from './admin_schema.js';
 import type {Role} from '../settings/settings.js';
 
-/** One request whose sender is known. */
+/** One authenticated request. */
 export interface AdminCall {
   readonly principal: Principal;
   readonly isPlatformTeam: boolean;
-  /** Of the principal's team; all that it may see. */
+  /** Tenants of the principal's team, the only ones whose data it may see. */
   readonly tenants: ReadonlySet<TenantId>;
   readonly query: URLSearchParams;
   readonly body: unknown;
@@ -39,7 +39,7 @@
   readonly method: 'GET' | 'POST';
   readonly path: string;
   readonly role: Role;
-  /** Whether only the team that runs the platform may. */
+  /** Whether only the platform team may make the call. */
   readonly platformOnly: boolean;
   readonly answer: AdminAnswerName;
   readonly run: (
@@ -102,21 +102,21 @@
   post('/admin/v1/rules', 'publish', 'published', publishRules),
   post('/admin/v1/drain', 'publish', 'drained', drain, true),
   get('/admin/v1/audit', 'audit', 'audit', readAudit),
-  // Whole blocks hold the entries of all teams: a chain can only be checked
-  // whole.
+  // Complete blocks contain the entries of all teams: an audit chain can only
+  // be verified with all of its entries.
   {
     ...get('/admin/v1/audit/blocks', 'audit', 'audit', readBlocks),
     platformOnly: true,
   },
 ];
 
-/** Whether a series may be shown to the maker of `call`. */
+/** Whether the principal of `call` may see a metric series. */
 export function mayShowSeries(call: AdminCall, {tenant}: SeriesKey): boolean {
   if (tenant === OVERFLOW_SERIES) return call.isPlatformTeam;
   return call.tenants.has(tenant as TenantId);
 }
 
-/** Drops what belongs to tenants of other teams; what no tenant owns stays. */
+/** Removes items of other teams' tenants; keeps items that no tenant owns. */
 function filterOwn<T extends {readonly tenant: string | null}>(
   items: readonly T[],
   {tenants}: AdminCall,
@@ -165,7 +165,7 @@
   const from = readVersion(call.query, 'from') ?? to.basedOn;
   const old = findVersion(backend, call, from);
   if (!old && from !== NO_VERSION) {
-    return fail(createError('not_found', `version ${from} is not kept`));
+    return fail(createError('not_found', `version ${from} is not retained`));
   }
   const patch = createTwoFilesPatch(
     `version ${from}`,
@@ -215,14 +215,14 @@
   return published.ok ? succeed({version: published.value}) : published;
 }
 
-/** Endpoints are shared, so only the platform team says which group one is in. */
+/** Rejects groups of all but the platform team, as teams share endpoints. */
 function checkGroups(text: string, call: AdminCall): string | undefined {
   const parsed = parseRuleText(text, 'rules');
   if (call.isPlatformTeam || !parsed.ok) return undefined;
   const [group] = parsed.value.groups;
   return (
     group &&
-    `rules: [group.${group.name}]: expected no groups but the platform team's`
+    `rules: [group.${group.name}]: expected no groups: only the platform team may define them`
   );
 }
 
@@ -260,7 +260,7 @@
   );
 }
 
-/** The version of the caller's own team; undefined asks for the one in force. */
+/** Finds a version of the principal's team; the one in force if undefined. */
 function findVersion(
   backend: AdminBackend,
   {principal}: AdminCall,
@@ -300,7 +300,7 @@
   return fail(createError('bad_request', detail));
 }
 
-/** Whether `value` is what the API says it answers. */
+/** Whether `value` matches the schema of the answer `name`. */
 export function matchesAnswer(name: AdminAnswerName, value: unknown): boolean {
   return ADMIN_ANSWERS[name].safeParse(value).success;
 }
--- a/packages/daemon/src/admin/admin_schema.ts
+++ b/packages/daemon/src/admin/admin_schema.ts
@@ -1,4 +1,4 @@
-/** The answers of the administration API, one schema each. */
+/** Schemas of the answers and request bodies of the administration API. */
 
 import {z} from 'zod';
 
@@ -12,7 +12,7 @@
     dataCentre: z.string(),
     state: z.enum(['live', 'leaving', 'suspect']),
     peerAddress: z.string(),
-    /** Next offset of the stream `config` that it wants; null if unknown. */
+    /** Next offset the VM reads of the stream `config`; null if unknown. */
     configNext: count.nullable(),
   })
   .readonly();
@@ -27,7 +27,7 @@
     state: z.enum(['live', 'leaving']),
     usable: z.boolean(),
     inFlight: count,
-    /** Most that this VM runs there at once; null for no bound. */
+    /** Most requests that this VM runs there at once; null for no bound. */
     limit: count.nullable(),
     weightVersion: count,
   })
@@ -64,7 +64,7 @@
 export const leaseEntrySchema = z
   .strictObject({
     name: z.string(),
-    /** Tenant of the step; null for leases that no tenant owns. */
+    /** Tenant of the leased step; null for leases that no tenant owns. */
     tenant: z.string().nullable(),
     vm: z.string(),
     fencing: count,
@@ -80,7 +80,7 @@
     ready: z.boolean(),
     draining: z.boolean(),
     startedAtMs: unixMs,
-    /** Works queued or running on this VM. */
+    /** Number of work items queued or running on this VM. */
     works: count,
     log: z
       .strictObject({
@@ -117,12 +117,12 @@
   .strictObject({
     offset: count,
     timeMs: unixMs,
-    /** The record as it stands on the log. */
+    /** The record as stored in the log. */
     record: z.json(),
   })
   .readonly();
 
-/** Answers by name; `GET /admin/v1/schemas/NAME` gives the JSON schema of one. */
+/** Answers by name; `GET /admin/v1/schemas/NAME` returns one as JSON schema. */
 export const ADMIN_ANSWERS = {
   status: statusSchema,
   vms: z.strictObject({vms: z.array(vmEntrySchema).readonly()}).readonly(),
@@ -161,7 +161,7 @@
   audit: z
     .strictObject({
       records: z.array(auditEntrySchema).readonly(),
-      /** Where to go on; equal to `from` at the end. */
+      /** Offset of the next page; equal to `from` at the end. */
       next: count,
     })
     .readonly(),
@@ -211,7 +211,7 @@
 
 /** Body of `POST /admin/v1/rules`. */
 export const publishBodySchema = z.strictObject({
-  /** Version that the text was made from; -1 for none. */
+  /** Version that the text is based on; -1 for none. */
   basedOn: version,
   text: z.string(),
 });
--- a/packages/daemon/src/admin/admin_server.ts
+++ b/packages/daemon/src/admin/admin_server.ts
@@ -1,6 +1,7 @@
 /**
- * The listener of the administration API. Each request is first tied to a team
- * by its token; without one nothing is told, not even which paths exist.
+ * The listener of the administration API. Each request is first authenticated
+ * by its token, which names a team; without a valid token the answer reveals
+ * nothing, not even which paths exist.
  */
 
 import {createServer, IncomingMessage, Server, ServerResponse} from 'node:http';
@@ -27,22 +28,22 @@
 import {ADMIN_ANSWERS, AdminAnswerName} from './admin_schema.js';
 import type {Settings} from '../settings/settings.js';
 
-/** One request, for the log of accesses. Holds no part of any token. */
+/** One request, for the access log. Contains no part of any secret. */
 export interface AdminAccess {
-  /** Only a name that the settings know. */
+  /** Set only for a token name that the settings define. */
   readonly tokenName: string | undefined;
   readonly team: TeamId | undefined;
   readonly method: string;
-  /** Without its query. */
+  /** Without the query string. */
   readonly path: string;
   readonly remoteAddress: string;
-  /** `granted`, or why not. */
+  /** `granted`, or the kind of the error that was answered. */
   readonly outcome: 'granted' | ErrorKind;
 }
 
 export type AdminSettings = Pick<Settings, 'tenants' | 'tokens' | 'admin'>;
 
-/** Longest body: a rule set with some room for JSON's escapes. */
+/** Longest body: fits a rule set with room for JSON escapes. */
 const MAX_BODY_BYTES = 524_288;
 const MAX_HEADER_BYTES = 8192;
 const MAX_CONNECTIONS = 128;
@@ -53,7 +54,7 @@
 const METRICS_PATH = '/metrics';
 const SCHEMA_PATH = '/admin/v1/schemas/';
 
-/** Serves one backend. */
+/** Serves the administration API of one backend over HTTP. */
 export class AdminServer {
   private readonly server: Server;
   private readonly authenticator: Authenticator;
@@ -75,7 +76,7 @@
     this.server.maxConnections = MAX_CONNECTIONS;
   }
 
-  /** Opens the listener at `address` (`ip:port`); resolves to the real one. */
+  /** Listens at `address` (`ip:port`); resolves to the address in use. */
   listen(address: string): Promise<string> {
     return listenAt(this.server, address);
   }
@@ -143,10 +144,10 @@
   ): Promise<Result<void>> {
     const result = await route.run(this.backend, call);
     if (!result.ok) return result;
-    // A backend that answers with a field too many could show another team's
-    // data; every answer is held against its schema, which knows no extra keys.
+    // An unexpected field could expose another team's data, so every answer is
+    // validated against its schema, which rejects extra keys.
     if (!matchesAnswer(route.answer, result.value)) {
-      const detail = `the answer ${route.answer} is not what its schema says`;
+      const detail = `the answer ${route.answer} does not match its schema`;
       return fail(createError('internal', detail));
     }
     sendJson(res, 200, result.value);
@@ -179,7 +180,7 @@
   }
 }
 
-/** The target as a URL; one that is none is as good as an unknown path. */
+/** The request target as a URL; an invalid one becomes `/`, an unknown path. */
 function readUrl(req: IncomingMessage): URL {
   const base = 'http://admin';
   const target = req.url ?? '/';
@@ -188,7 +189,9 @@
 
 function checkAllowed(route: AdminRoute, call: AdminCall): Result<void> {
   if (route.platformOnly && !call.isPlatformTeam) {
-    return fail(createError('forbidden', 'only the platform team may'));
+    return fail(
+      createError('forbidden', 'only the platform team may make this call'),
+    );
   }
   return checkRole(call, route.role);
 }
--- a/packages/daemon/src/admin/admin_token.ts
+++ b/packages/daemon/src/admin/admin_token.ts
@@ -1,11 +1,12 @@
 /**
  * Tokens of the administration API: `NAME.SECRET`, with 256 random bits as the
- * secret. Settings hold only a salted hash, so that who reads them can not act.
+ * secret. The settings contain only a salted hash, so that someone who reads
+ * them can not use the token.
  */
 
 import {randomBytes, scrypt, timingSafeEqual} from 'node:crypto';
 
-/** Work factor, as a power of two. 2^12 takes 4 MiB of memory a check. */
+/** Binary logarithm of scrypt's cost; 2^12 takes 4 MiB of memory per check. */
 const COST_EXPONENT = 12;
 const BLOCK_SIZE = 8;
 const SALT_BYTES = 16;
@@ -15,18 +16,18 @@
 
 const TOKEN_PATTERN = /^([A-Za-z0-9][A-Za-z0-9_-]{0,99})\.[A-Za-z0-9_-]+$/;
 
-/** Mints a token under `name`, which must fit a section `[token.NAME]`. */
+/** Creates a token for `name`, which must be valid in `[token.NAME]`. */
 export function mintToken(name: string): string {
   return `${name}.${randomBytes(SECRET_BYTES).toString('base64url')}`;
 }
 
-/** The name that a token states; undefined when it has no such form. */
+/** Reads the name from a token; undefined if the token is malformed. */
 export function readTokenName(token: string): string | undefined {
   if (token.length > MAX_TOKEN_CHARS) return undefined;
   return TOKEN_PATTERN.exec(token)?.[1];
 }
 
-/** Hashes `token` for the settings, under a new salt. */
+/** Hashes `token` with a new salt, in the format of the settings. */
 export async function hashToken(token: string): Promise<string> {
   const salt = randomBytes(SALT_BYTES);
   const hash = await derive(token, salt, COST_EXPONENT);
@@ -34,7 +35,7 @@
   return ['scrypt', COST_EXPONENT, ...parts].join('$');
 }
 
-/** Whether `token` is the one that `hash` was made from. */
+/** Whether `hash` was created from `token`. */
 export async function matchesHash(
   token: string,
   hash: string,
--- a/packages/daemon/src/admin/vm_admin_backend.ts
+++ b/packages/daemon/src/admin/vm_admin_backend.ts
@@ -1,4 +1,4 @@
-/** The administration API's view of a running VM. */
+/** Implements the backend of the administration API on a running VM. */
 
 import {z} from 'zod';
 import {concernsSubject} from '@radishyoke/core/audit/audit_entry';
@@ -44,12 +44,12 @@
   readonly metrics: VmMetrics;
   readonly isReady: () => boolean;
   readonly isDraining: () => boolean;
-  /** Tells the process to drain and end. */
+  /** Requests that the process drains and exits. */
   readonly requestDrain: () => void;
 }
 
 const AUDIT_READ_TIMEOUT_MS = 5000;
-/** Blocks looked at for one answer; the asker goes on from `next`. */
+/** Most blocks read for one answer; the client continues from `next`. */
 const MAX_AUDIT_BLOCKS = 200;
 const STEP_LEASE_PATTERN = /^step:([^/]+)\//;
 
@@ -60,7 +60,7 @@
   failed: 'suspect',
 } as const;
 
-/** What is read of a block of the stream `audit`. */
+/** The part of a block of the stream `audit` that is read here. */
 const auditBlockSchema = z.object({entries: z.array(z.json())});
 const auditNamesSchema = z.looseObject({
   team: z.string().optional(),
@@ -200,7 +200,8 @@
         : fail(createError('not_found', `no endpoint ${id}`));
     }
     if (id !== this.options.settings.vm.id) {
-      const detail = 'a VM is drained through its own administration address';
+      const detail =
+        'a VM must be drained through its own administration address';
       return fail(createError('not_found', detail));
     }
     this.options.requestDrain();
@@ -233,7 +234,7 @@
     );
     if (!read.ok) return read;
     if (read.value.kind === 'expired') {
-      const detail = `the log keeps the audit from ${read.value.oldest} on`;
+      const detail = `the log retains the audit from ${read.value.oldest}`;
       return fail(createError('not_found', detail));
     }
     const records = read.value.records.map(({offset, timeMs, value}) => ({
@@ -274,7 +275,7 @@
   return parsed.success ? parsed.data.entries : [];
 }
 
-/** Entries of other teams are nobody else's to read. */
+/** Whether an entry belongs to `team` and concerns `subject`, if given. */
 function matchesQuery(
   entry: unknown,
   team: TeamId,
--- a/packages/daemon/src/apps/app_api.ts
+++ b/packages/daemon/src/apps/app_api.ts
@@ -1,4 +1,4 @@
-/** The interface for apps: any request is routed by rule and streamed through. */
+/** The API for apps: routes each request by rule and streams the answer. */
 
 import {randomUUID} from 'node:crypto';
 import type {IncomingMessage, ServerResponse} from 'node:http';
@@ -28,7 +28,7 @@
 import type {Logger} from '../logger.js';
 import type {Route, RuleRegistry} from '../rule_registry.js';
 
-/** Methods that may be repeated (RFC 9110, section 9.2.2). */
+/** Idempotent methods, whose requests may be repeated (RFC 9110, 9.2.2). */
 const idempotentMethods: ReadonlySet<string> = new Set([
   'GET',
   'HEAD',
@@ -38,12 +38,12 @@
   'TRACE',
 ]);
 
-/** Longest body that is kept to be sent again; a longer one is sent once. */
+/** Longest body buffered for retries; a longer one is sent only once. */
 const maxReplayBytes = 65_536;
-/** Longest silence of an endpoint within one request, ms. */
+/** Longest time without data from an endpoint within one request, ms. */
 const progressTimeoutMs = 10_000;
 const requestIdPattern = /^[\x21-\x7e]{1,200}$/;
-/** Expected output where a plain call to an engine does not say it, tokens. */
+/** Assumed bytes per token when the prompt tokens of a body are estimated. */
 const charsPerToken = 4;
 
 /** One finished request, for metrics and the audit. */
@@ -70,7 +70,7 @@
 
   constructor(private readonly options: AppApiOptions) {}
 
-  /** Requests that have no answer yet. */
+  /** The number of requests in flight. */
   countInFlight(): number {
     return this.inFlight;
   }
@@ -100,9 +100,9 @@
   }
 
   /**
-   * A caller that had no answer sends its non-idempotent request again, perhaps
-   * through another VM. The claim on its id goes through the log before anything
-   * is sent, so one VM wins and the request runs at most once.
+   * Claims the id of a non-idempotent request through the log before it is sent
+   * to an endpoint. A caller that got no answer may resend the request through
+   * another VM; only one VM wins the claim, so the request runs at most once.
    */
   private async claimRequest(
     req: IncomingMessage,
@@ -129,14 +129,16 @@
     const {verdict} = claimed.value;
     if (verdict.kind === 'accepted') return succeed({id, claimed: true});
     if (verdict.reason === 'claims_full') {
-      return fail(createError('overloaded', 'too many request ids are held'));
+      return fail(
+        createError('overloaded', 'too many request ids are claimed'),
+      );
     }
     return fail(createError('duplicate_request'));
   }
 
   /**
-   * A refusal that says nothing ran invites the caller to send the request
-   * again; with the claim left standing that would be refused for an hour.
+   * Releases the claim of a request that did not run. The error allows the
+   * caller to resend it, but a remaining claim would refuse that for an hour.
    */
   private releaseRequest({caller, id}: AppCall): void {
     const {tenant} = caller;
@@ -184,7 +186,7 @@
   }
 }
 
-/** The request's id, and whether a claim on it stands on the log. */
+/** A request's id, and whether this VM claimed it through the log. */
 interface ClaimedId {
   readonly id: RequestId;
   readonly claimed: boolean;
@@ -232,13 +234,17 @@
   };
 }
 
-/** Whether an endpoint can have received the request. */
+/** Whether an endpoint may have received the request. */
 function mayHaveRun(end: AppEnd): boolean {
   if (end.attempts.length === 0) return false;
   return end.error === undefined || resolveRan(end.error) !== 'no';
 }
 
-/** The rule says it first, then the caller's mark, then the method. */
+/**
+ * Decides whether a request may be repeated. The caller's header takes
+ * precedence if it says non-idempotent; otherwise the rule, then the header,
+ * then the method.
+ */
 function resolveIdempotent(
   req: IncomingMessage,
   route: Route,
@@ -248,8 +254,8 @@
     const detail = `header ${HEADERS.nonIdempotent} must be true or false`;
     return fail(createError('bad_request', detail));
   }
-  // A caller that marks its request non-idempotent is believed over a rule: the
-  // other way round a note would be filed twice by a rule meant for reads.
+  // The caller's `true` takes precedence over the rule: a rule meant for reads
+  // could otherwise have a write retried and executed twice.
   if (mark === 'true') return succeed(false);
   if (route.action.idempotent !== undefined) {
     return succeed(route.action.idempotent);
@@ -258,7 +264,7 @@
   return succeed(idempotentMethods.has(req.method ?? ''));
 }
 
-/** Reads a short body whole; undefined where it must be streamed. */
+/** Reads a short body into memory; undefined for one that must be streamed. */
 async function readReplayBody(
   req: IncomingMessage,
 ): Promise<Result<Buffer | undefined>> {
--- a/packages/daemon/src/apps/app_runner.ts
+++ b/packages/daemon/src/apps/app_runner.ts
@@ -1,4 +1,4 @@
-/** Runs one app's request: forwards it to the endpoints the scheduler names. */
+/** Runs one app request: forwards it to the endpoints the scheduler chooses. */
 
 import type {IncomingMessage, ServerResponse} from 'node:http';
 import type {Dispatcher as HttpDispatcher} from 'undici';
@@ -18,28 +18,28 @@
   readonly workId: string;
   readonly req: IncomingMessage;
   readonly res: ServerResponse;
-  /** The whole body, or undefined where it is streamed from `req`. */
+  /** The complete body, or undefined where it is streamed from `req`. */
   readonly body: Buffer | undefined;
-  /** Rule and configuration version, for the answer. */
+  /** Headers of the answer that name the rule and configuration version. */
   readonly answerHeaders: Readonly<Record<string, string>>;
   readonly progressTimeoutMs: number;
   readonly http: HttpDispatcher;
   readonly dispatcher: Dispatcher;
-  /** Called once, when the caller has its answer or has gone. */
+  /** Called once, when the caller has its answer or has disconnected. */
   readonly onEnd: (end: AppEnd) => void;
 }
 
-/** What became of an app's request. */
+/** The outcome of an app request. */
 export interface AppEnd {
-  /** In the order of their start. */
+  /** In the order in which they ended. */
   readonly attempts: readonly AppAttempt[];
-  /** Status that the caller got; 0 for none. */
+  /** HTTP status that the caller received; 0 for none. */
   readonly status: number;
-  /** Absent when the caller has the whole answer. */
+  /** Absent when the caller received the complete answer. */
   readonly error?: RadishyokeError;
 }
 
-/** One attempt of an app's request. Times are Unix ms. */
+/** One attempt of an app request. Times are Unix ms. */
 export interface AppAttempt {
   readonly attempt: number;
   readonly endpoint: EndpointId;
@@ -62,7 +62,7 @@
   constructor(private readonly options: AppRunnerOptions) {
     super();
     options.res.once('close', () =>
-      this.abort(createError('cancelled', 'the caller left')),
+      this.abort(createError('cancelled', 'the caller disconnected')),
     );
   }
 
@@ -112,11 +112,14 @@
   private onAttemptEnd(attempt: number, end: ForwardEnd): void {
     const attemptEnd = end.kind === 'failed' ? end.failure : end.kind;
     if (!this.closeAttempt(attempt, attemptEnd)) return;
-    // Once the caller has the head of an answer no other attempt can give it
-    // the rest: the connection is broken so that half is not taken for whole.
+    // Once the caller has the head of an answer, no other attempt can continue
+    // it. Closing the connection shows the caller that the answer is
+    // incomplete.
     const {workId, dispatcher, res} = this.options;
     if (end.kind === 'failed' && end.answered) {
-      this.abort(createError('endpoint_failed', 'it failed while it answered'));
+      this.abort(
+        createError('endpoint_failed', 'the endpoint failed while answering'),
+      );
       res.destroy();
       return;
     }
@@ -128,7 +131,7 @@
     });
   }
 
-  /** The caller will not have the whole answer. */
+  /** Ends the request without a complete answer and stops its attempts. */
   private abort(error: RadishyokeError): void {
     if (this.ended || this.options.res.writableFinished) return;
     for (const [attempt, {forward}] of [...this.running]) {
@@ -139,7 +142,7 @@
     this.end(0, error);
   }
 
-  /** Notes the end of an attempt; returns whether it was still running. */
+  /** Records the end of an attempt; returns whether it was still running. */
   private closeAttempt(attempt: number, end: AppAttempt['end']): boolean {
     const running = this.running.get(attempt);
     if (!running) return false;
--- a/packages/daemon/src/audit/__tests__/audit_task.spec.ts
+++ b/packages/daemon/src/audit/__tests__/audit_task.spec.ts
@@ -64,10 +64,10 @@
   return [...lines, exporter.end()];
 }
 
-// An auditor finds nothing wrong in an audit from which entries are missing.
-// 1. The log is down for longer than a VM can keep entries; it drops some.
-// 2. Append answers are lost as the log comes back.
-test('a full buffer shows as a gap in a chain that is whole', async t => {
+// Guards against an audit that verifies although entries are missing without a
+// trace. The log is down for longer than the VM can buffer entries, so some are
+// dropped; append answers are lost when the log comes back.
+test('a full buffer shows as a gap in a valid chain', async t => {
   const fake = await startFakeLog();
   t.teardown(() => fake.close());
   const {audit} = startTasks(t, fake, 'a');
@@ -82,7 +82,7 @@
   t.deepEqual(report.unclosed, []);
 });
 
-test("a VM names the heads of other VMs' chains in its own", async t => {
+test("a VM includes the heads of other VMs' chains in its own", async t => {
   const fake = await startFakeLog();
   t.teardown(() => fake.close());
   const [a, b] = [startTasks(t, fake, 'a'), startTasks(t, fake, 'b')];
--- a/packages/daemon/src/audit/audit_recorder.ts
+++ b/packages/daemon/src/audit/audit_recorder.ts
@@ -1,4 +1,4 @@
-/** Turns what happens on this VM into audit entries. */
+/** Creates audit entries from events on this VM. */
 
 import type {
   AuditAttempt,
@@ -26,9 +26,9 @@
 
 type CommitRecord = Extract<StateRecord, {kind: 'samples_committed'}>;
 
-/** One instance a VM. */
+/** Audits requests, rollouts and configurations; one instance per VM. */
 export class AuditRecorder {
-  /** Attempts of samples that have no winner yet, by step and sample. */
+  /** Attempts of samples without a committed winner, by step and sample key. */
   private readonly attempts = new Map<string, Map<string, AuditAttempt[]>>();
 
   constructor(private readonly options: AuditRecorderOptions) {}
@@ -37,7 +37,7 @@
     void this.options.log.changes.observe(change => this.onLogChange(change));
   }
 
-  /** A run of a sample is over; its entry is made when the log has a winner. */
+  /** Stores the attempts of a sample until the log has its winner. */
   recordAttempts(
     {key}: StepLedger,
     ref: SampleRef,
@@ -49,12 +49,12 @@
     step.set(sample, [...(step.get(sample) ?? []), ...attempts]);
   }
 
-  /** The step is closed or goes on at another VM. */
+  /** Drops the attempts of a step that closed or moved to another VM. */
   forgetStep({key}: StepLedger): void {
     this.attempts.delete(key);
   }
 
-  /** An app's request has ended. */
+  /** Records an app request that ended. */
   recordRequest({caller, requestId, route, end}: AppRecord): void {
     this.options.record({
       kind: 'request',
@@ -132,7 +132,7 @@
     }
   }
 
-  /** Attempts seen here in full, and those of earlier owners as the log has them. */
+  /** Merges this VM's attempts with those of earlier owners from the log. */
   private takeAttempts(
     ledger: StepLedger,
     winner: CommittedSample,
@@ -147,7 +147,7 @@
   }
 }
 
-/** The attempts that the log tells of; only the winner's spans are on it. */
+/** The attempts in the log, which contains spans for the winner only. */
 function listLoggedAttempts(
   ledger: StepLedger,
   winner: CommittedSample,
--- a/packages/daemon/src/audit/audit_task.ts
+++ b/packages/daemon/src/audit/audit_task.ts
@@ -1,6 +1,7 @@
 /**
- * The task that writes this VM's audit chain: it gathers entries into blocks,
- * and ties the chains of all VMs to one another.
+ * The task that writes this VM's audit chain: it batches entries into blocks
+ * and includes the heads of other VMs' chains, so that the chains attest each
+ * other.
  */
 
 import {
@@ -18,20 +19,20 @@
 export interface AuditTaskConfig {
   readonly vm: VmId;
   readonly incarnation: IncarnationId;
-  /** Entries that wait for the log at most; those that come later are dropped. */
+  /** Most entries that wait for the log; further ones are dropped. */
   readonly maxWaiting: number;
 }
 
-/** Some 5 MB of entries: at ten a second, more than half an hour of outage. */
+/** About 5 MB: over 30 minutes of log outage at 10 entries a second. */
 export const DEFAULT_MAX_WAITING = 20_000;
 const MAX_ENTRIES_PER_BLOCK = 500;
-/** Blocks handed to the writer and not yet on the log. */
+/** Most blocks handed to the writer that are not yet in the log. */
 const MAX_BLOCKS_IN_FLIGHT = 2;
 const MIN_FLUSH_MS = 1000;
-/** Appends of this VM's share between two of the audit's: it takes a third. */
+/** Flush interval in the VM's append intervals: a third of its appends. */
 const SHARES_PER_FLUSH = 3;
 const ANCHOR_INTERVAL_MS = 60_000;
-/** Foreign heads named in one block. */
+/** Most heads of other VMs' chains included in one block. */
 const MAX_WITNESSED_PER_BLOCK = 8;
 
 interface Gap {
@@ -40,7 +41,7 @@
   dropped: number;
 }
 
-/** One instance a VM, beside its log task. */
+/** Writes the audit chain of one VM; one instance per log task. */
 export class AuditTask {
   private readonly chain: AuditChain;
   private readonly writer: LogWriter<AuditBlock, number>;
@@ -67,7 +68,7 @@
     );
   }
 
-  /** Entries that wait for the log, and those dropped since it took one. */
+  /** Entries that wait for the log, and those dropped since the last gap. */
   get status(): {readonly waiting: number; readonly dropped: number} {
     return {waiting: this.waiting.length, dropped: this.gap?.dropped ?? 0};
   }
@@ -77,7 +78,7 @@
     this.schedule();
   }
 
-  /** Takes an entry; with a full buffer it is dropped, and the gap is told. */
+  /** Queues an entry; if the buffer is full, drops it and records a gap. */
   record(entry: AuditEntry): void {
     if (this.waiting.length < this.cfg.maxWaiting) {
       this.waiting.push(entry);
@@ -89,7 +90,7 @@
     this.gap.dropped++;
   }
 
-  /** Writes what waits and closes the chain; resolves when the log has it. */
+  /** Writes all waiting entries and closes the chain; resolves once logged. */
   async leave(): Promise<void> {
     clearTimeout(this.timer);
     this.stopped = true;
@@ -100,7 +101,7 @@
     await Promise.all(blocks);
   }
 
-  /** Stops at once; what waits is lost, and the chain shows no end. */
+  /** Stops at once; waiting entries are lost and the chain stays unclosed. */
   stop(): void {
     this.stopped = true;
     clearTimeout(this.timer);
@@ -137,9 +138,9 @@
   }
 
   /**
-   * Entries are dropped when the log is down for longer than the buffer lasts.
-   * Unsaid, the audit would look whole; so the gap takes the place of the first
-   * entries that can be written again, inside the chain.
+   * Queues a `gap` entry for the entries dropped while the log was down for
+   * longer than the buffer lasts. Without it in the chain the audit would look
+   * complete.
    */
   private reportGap(): void {
     if (this.gap === undefined) return;
@@ -156,7 +157,7 @@
     return heads;
   }
 
-  /** Tells the other VMs of this chain's head once in a while. */
+  /** Publishes the chain's head to the other VMs, at most once per interval. */
   private publishHead({number, hash, offset}: LoggedHead): void {
     const nowMs = performance.now();
     if (nowMs - this.anchoredAtMs < ANCHOR_INTERVAL_MS && !this.stopped) return;
--- a/packages/daemon/src/callers/caller.ts
+++ b/packages/daemon/src/callers/caller.ts
@@ -1,4 +1,4 @@
-/** What every request of a caller goes through before its own handler. */
+/** Steps common to all caller requests: identification, facts and headers. */
 
 import type {IncomingMessage} from 'node:http';
 import type {RuleFacts} from '@radishyoke/core/rules/rule';
@@ -10,13 +10,13 @@
 import {fail, Result, succeed} from '@radishyoke/shared/result';
 import type {Route, RuleRegistry} from '../rule_registry.js';
 
-/** Who calls. */
+/** The sender of a request. */
 export interface Caller {
   readonly tenant: TenantId;
   readonly team: TeamId;
 }
 
-/** Reads one header that may stand only once. */
+/** Reads a header that may occur only once. */
 export function readSingleHeader(
   req: IncomingMessage,
   name: string,
@@ -25,7 +25,7 @@
   return typeof value === 'string' ? value : undefined;
 }
 
-/** Finds the tenant and its team. */
+/** Finds the tenant that the request names, and its team. */
 export function identifyCaller(
   req: IncomingMessage,
   rules: RuleRegistry,
@@ -33,7 +33,7 @@
   const name = readSingleHeader(req, HEADERS.tenant);
   if (!name) {
     return fail(
-      createError('unauthorized', `header ${HEADERS.tenant} missing`),
+      createError('unauthorized', `header ${HEADERS.tenant} is missing`),
     );
   }
   const tenant = toTenantId(name);
@@ -42,7 +42,7 @@
   return succeed({tenant, team});
 }
 
-/** Facts of `req` by which its rule is found. */
+/** The facts of `req` that rules are matched against. */
 export function readRuleFacts(
   req: IncomingMessage,
   tenant: TenantId,
@@ -59,7 +59,7 @@
   };
 }
 
-/** Headers that tell a caller which rule decided. */
+/** Answer headers that name the rule and the configuration version. */
 export function createRouteHeaders(
   route: Route,
 ): Readonly<Record<string, string>> {
--- a/packages/daemon/src/callers/caller_server.ts
+++ b/packages/daemon/src/callers/caller_server.ts
@@ -10,19 +10,19 @@
 import {StepApi} from '../steps/step_api.js';
 
 export interface CallerServerOptions {
-  /** `ip:port`; port 0 takes a free one. */
+  /** `ip:port`; port 0 selects a free port. */
   readonly address: string;
   readonly limits: LimitSettings;
   readonly steps: StepApi;
   readonly apps: AppApi;
   readonly logger: Logger;
-  /** Why this VM refuses requests, if so. */
+  /** The error with which this VM refuses requests, if it does. */
   readonly findRefusal: () => RadishyokeError | undefined;
-  /** Why this VM is not ready, if so; while it drains, some time before it refuses. */
+  /** Why this VM is not ready, if so; a drain sets it before `findRefusal`. */
   readonly findReadinessFailure: () => RadishyokeError | undefined;
 }
 
-/** Time a kept-alive connection may stand idle; longer than balancers keep it. */
+/** Time a connection may be idle; longer than load balancers keep it open. */
 const keepAliveTimeoutMs = 75_000;
 
 export class CallerServer {
@@ -42,12 +42,12 @@
     this.server.maxConnections = limits.maxConnections;
   }
 
-  /** Resolves with the address listened on. */
+  /** Resolves with the address in use. */
   listen(): Promise<string> {
     return listenAt(this.server, this.options.address);
   }
 
-  /** Takes no new connection; resolves when the open ones have ended. */
+  /** Accepts no new connections; resolves when the open ones have ended. */
   async close(): Promise<void> {
     const closed = new Promise<void>(resolve =>
       this.server.close(() => resolve()),
@@ -56,7 +56,7 @@
     await closed;
   }
 
-  /** Breaks all connections. */
+  /** Closes all connections at once. */
   destroy(): void {
     this.server.close();
     this.server.closeAllConnections();
@@ -71,8 +71,8 @@
     if (path === '/readyz') return this.answerReadiness(res);
     const refusal = this.options.findRefusal();
     if (refusal) {
-      // The balancer sees a draining VM late; a caller told to go elsewhere
-      // must not come back over the same connection.
+      // Load balancers notice a draining VM late. Closing the connection makes
+      // a refused caller's retry open a new one, which may reach another VM.
       res.setHeader('connection', 'close');
       return sendError(res, refusal);
     }
@@ -95,7 +95,7 @@
     else sendJson(res, 200, {ready: true});
   }
 
-  /** Cuts off a caller that stops in the middle of its request's body. */
+  /** Disconnects a caller that stalls in the middle of its request body. */
   private enforceBodyTimeout(req: http.IncomingMessage): void {
     const {slowWriterTimeoutMs} = this.options.limits;
     const {socket} = req;
--- a/packages/daemon/src/scheduling/__tests__/order_task.spec.ts
+++ b/packages/daemon/src/scheduling/__tests__/order_task.spec.ts
@@ -24,7 +24,7 @@
 const MODEL = 'tutor';
 const POLL_MS = 20;
 
-/** A log task whose own clock says once that its session may be over. */
+/** A log task that once reports a lease it holds as lost. */
 class DoubtingLogTask extends LogTask {
   isSessionDoubted = false;
 
@@ -35,13 +35,12 @@
   }
 }
 
-// Trainers wait for rollouts that are all too old, and no step ends any more.
-// 1. A VM holds the lease on orders. 2. Its connections to the log go silent;
-//    by its own clock its session could be over, so it gives no order.
-// 3. A new connection works and the session was renewed in time.
-// Cause: it had forgotten the lease, and took the holder in the log, which was
-// itself, for another VM.
-test('a VM that doubted its session for a moment goes on ordering', async t => {
+// Guards against weight orders stopping for good, so that every rollout is too
+// old and no step completes. The VM that holds the lease on orders loses its
+// log connections, and by its own clock its session may have expired. It drops
+// its lease, reconnects with the session renewed in time, and must not take the
+// holder named in the log, which is itself, for another VM.
+test('a VM that doubted its session continues to order weights', async t => {
   const platform = await Promise.all([
     startFakeLog(),
     startFakeWeightStore(),
--- a/packages/daemon/src/scheduling/dispatcher.ts
+++ b/packages/daemon/src/scheduling/dispatcher.ts
@@ -1,6 +1,7 @@
 /**
- * The task that owns the scheduler. Others submit work and post events; it
- * carries out what the scheduler answers by calling the work's runner.
+ * The task that owns the scheduler. Other tasks submit work items and post
+ * events; the dispatcher executes the resulting actions by calling the work
+ * item's runner.
  */
 
 import type {
@@ -15,40 +16,40 @@
 import type {EndpointId, TenantId} from '@radishyoke/shared/ids';
 import {createMailbox} from '../mailbox.js';
 
-/** Where and how an attempt is to be made. */
+/** The scheduler's action that starts an attempt on an endpoint. */
 export type StartAction = Extract<SchedulerAction, {readonly kind: 'start'}>;
 
-/** Does the work on an endpoint, as told. Its methods must not throw. */
+/** Runs the attempts of one work item. Its methods must not throw. */
 export abstract class WorkRunner {
   abstract start(action: StartAction, endpoint: EndpointInfo): void;
   abstract stop(attempt: number): void;
-  /** The output of `attempt` is the result. */
+  /** Ends the work item with the output of `attempt` as its result. */
   abstract done(attempt: number): void;
   abstract giveUp(err: RadishyokeError): void;
 }
 
-/** What the dispatcher tells other tasks. */
+/** An endpoint crash that the scheduler detected, for the other VMs. */
 export type CrashNotice = Extract<
   SchedulerAction,
   {readonly kind: 'report_crash'}
 >;
 
-/** One attempt that was begun. */
+/** The start of one attempt. */
 export interface AttemptStart {
   readonly item: WorkItem;
   readonly attempt: number;
-  /** Time since the work was submitted. */
+  /** Time since the work item was submitted. */
   readonly waitedMs: number;
 }
 
-/** The first output of one work. */
+/** The first output of one work item. */
 export interface FirstOutput {
   readonly item: WorkItem;
-  /** Time since the work was submitted. */
+  /** Time since the work item was submitted. */
   readonly elapsedMs: number;
 }
 
-/** Works of one tenant and class. */
+/** The number of work items of one tenant and class. */
 export interface WorkCount {
   readonly tenant: TenantId;
   readonly workClass: WorkClass;
@@ -63,10 +64,10 @@
   hasOutput: boolean;
 }
 
-/** Number of an adopted attempt within its work. */
+/** Number of an adopted attempt within its work item. */
 const adoptedAttempt = 1;
 
-/** How often the scheduler is asked whether a timeout is due, ms. */
+/** Time between the ticks on which the scheduler checks its timeouts, ms. */
 const tickIntervalMs = 100;
 
 export class Dispatcher {
@@ -81,13 +82,13 @@
   private readonly attemptEndpoints = new Map<string, EndpointId>();
   private readonly ticker: NodeJS.Timeout;
 
-  /** Crashes to be told to the other VMs. */
+  /** Endpoint crashes to send to the other VMs. */
   readonly notices = this.noticeMailbox.messages;
 
-  /** Attempts as they begin. */
+  /** One message for each attempt that starts. */
   readonly starts = this.startMailbox.messages;
 
-  /** Works of which the first byte or token has come. */
+  /** One message for each work item whose first byte or token arrives. */
   readonly firstOutputs = this.firstOutputMailbox.messages;
 
   constructor(readonly scheduler: Scheduler) {
@@ -95,14 +96,14 @@
     this.ticker = setInterval(() => this.post({kind: 'tick'}), tickIntervalMs);
   }
 
-  /** Queues `work`; `runner` hears what becomes of it. */
+  /** Queues `work`; `runner` runs its attempts and receives its outcome. */
   submit(work: WorkItem, runner: WorkRunner): void {
     this.runners.set(work.id, runner);
     this.recordSubmission(work, 0);
     this.post({kind: 'enqueue', work});
   }
 
-  /** Takes work over whose first attempt already runs on `endpoint`. */
+  /** Takes over a work item whose first attempt already runs on `endpoint`. */
   adopt(work: WorkItem, runner: WorkRunner, endpoint: EndpointId): void {
     this.runners.set(work.id, runner);
     this.recordSubmission(work, adoptedAttempt);
@@ -114,13 +115,13 @@
     this.events.post(event);
   }
 
-  /** Ends the work; its runner is stopped where it runs and hears no more. */
+  /** Cancels the work item, stops its attempts and drops its runner. */
   cancel(workId: string): void {
     this.post({kind: 'cancel', workId});
     this.dropRunner(workId);
   }
 
-  /** Drops the work without a word to its runner or its endpoint. */
+  /** Drops the work item without calling its runner or stopping attempts. */
   forget(workId: string): void {
     this.dropRunner(workId);
     this.post({kind: 'cancel', workId});
@@ -130,21 +131,21 @@
     return this.endpoints.get(id);
   }
 
-  /** Attempts this VM has running, by endpoint. */
+  /** The number of attempts that this VM has running, by endpoint. */
   countInFlight(): ReadonlyMap<EndpointId, number> {
     return this.inFlight;
   }
 
-  /** A byte or token of the work's output has come. */
+  /** Records that output of the work item arrived; only the first counts. */
   recordOutput(workId: string): void {
     const work = this.submitted.get(workId);
     if (!work || work.hasOutput) return;
     work.hasOutput = true;
     const elapsedMs = Date.now() - work.submittedAtMs;
-    this.firstOutputMailbox.post({item: work.item, elapsedMs: elapsedMs});
+    this.firstOutputMailbox.post({item: work.item, elapsedMs});
   }
 
-  /** Works by tenant and class. */
+  /** Counts the work items by tenant and class. */
   listWorkCounts(): readonly WorkCount[] {
     const counts = new Map<string, WorkCount>();
     for (const [id, {item, attempts}] of this.submitted) {
@@ -181,12 +182,12 @@
       item,
       attempts,
       submittedAtMs: Date.now(),
-      // Work taken over had its first output under another owner.
+      // Adopted work may have had its first output under an earlier owner.
       hasOutput: attempts > 0,
     });
   }
 
-  /** Forgets a work's runner; it hears no more. */
+  /** Drops the work item and its runner, which gets no further calls. */
   private dropRunner(workId: string): void {
     this.runners.delete(workId);
     this.submitted.delete(workId);
--- a/packages/daemon/src/scheduling/endpoint_task.ts
+++ b/packages/daemon/src/scheduling/endpoint_task.ts
@@ -1,6 +1,6 @@
 /**
- * The task that watches endpoints: it reads the VM list and each endpoint's own
- * load report and tells the scheduler.
+ * The task that watches endpoints: it polls the VM list and the load report of
+ * each endpoint and passes both to the scheduler.
  */
 
 import type {Dispatcher as HttpDispatcher} from 'undici';
@@ -17,7 +17,7 @@
 import type {Logger} from '../logger.js';
 import {createMailbox} from '../mailbox.js';
 
-/** Time between two looks at the VM list and at each endpoint, ms. */
+/** Time between two polls of the VM list and of each endpoint, ms. */
 const pollIntervalMs = 1000;
 const reportTimeoutMs = 1000;
 
@@ -38,12 +38,12 @@
   private readonly drainedIds = new Set<EndpointId>();
   private stopped = false;
 
-  /** The service's own VMs, each time the list was read. */
+  /** The service's own VMs, published after each read of the VM list. */
   readonly vmLists = this.vmMailbox.messages;
 
   constructor(private readonly options: EndpointTaskOptions) {}
 
-  /** Reads the list once, then goes on by itself. */
+  /** Reads the list once, then keeps polling in the background. */
   async start(): Promise<void> {
     await this.poll();
   }
@@ -61,7 +61,10 @@
     return this.vms;
   }
 
-  /** Gives `id` no more work from this VM, as if the VM list had it leaving. */
+  /**
+   * Sends `id` no new work from this VM, as if the VM list showed it as
+   * leaving. Returns whether the endpoint is known.
+   */
   drain(id: EndpointId): boolean {
     if (!this.endpoints.some(endpoint => endpoint.id === id)) return false;
     this.drainedIds.add(id);
@@ -75,7 +78,7 @@
 
   private async poll(): Promise<void> {
     await this.readList();
-    // One endpoint that answers slowly must not hold up the news of the others.
+    // Not awaited: one slow endpoint must not delay the reports of the others.
     for (const endpoint of this.endpoints) void this.readReport(endpoint);
     if (this.stopped) return;
     this.timer = setTimeout(() => void this.poll(), pollIntervalMs);
@@ -126,7 +129,7 @@
         ? {...parsed.data, endpoint: endpoint.id}
         : undefined;
     } catch {
-      // A missing report is no sign of a dead endpoint: attempts tell that.
+      // A missing report does not mark an endpoint as dead: only attempts do.
       return undefined;
     }
   }
--- a/packages/daemon/src/scheduling/order_task.ts
+++ b/packages/daemon/src/scheduling/order_task.ts
@@ -1,6 +1,7 @@
 /**
- * The task that brings new weight versions to the engines. For each model the
- * VM that holds the lease on orders gives them, under its fencing number.
+ * The task that orders engines to load new weight versions. For each model,
+ * only the VM that holds the lease on orders sends them, with the lease's
+ * fencing number.
  */
 
 import type {Dispatcher as HttpDispatcher} from 'undici';
@@ -27,13 +28,13 @@
   readonly log: LogTask;
   readonly endpoints: EndpointTask;
   readonly weightStore: WeightStoreClient;
-  /** What the store allows all engines together. */
+  /** Fetches per second the weight store allows for all engines together. */
   readonly fetchesPerSecond: number;
   readonly http: HttpDispatcher;
   readonly logger: Logger;
 }
 
-/** The orders of one model while this VM holds the lease on them. */
+/** A model's weight rollout while this VM holds the lease on its orders. */
 interface HeldOrders {
   readonly lease: HeldLease;
   readonly rollout: WeightRollout;
@@ -103,9 +104,10 @@
     const current = log.state.leases.find(name);
     const isHeld =
       current && log.state.leases.isHeld(current, log.estimateLogNowMs());
-    // This VM doubted its own session, as when its log connections went silent,
-    // and renewed it in time. The log still names it the holder: if it took
-    // itself for another, nobody would order new weights for good.
+    // This VM may have assumed that its session expired, for example when its
+    // log connections went silent, although the session was renewed in time.
+    // The log then still names it as the holder. Treating that as another VM's
+    // lease would stop weight orders permanently.
     if (isHeld && !log.isOwn(current)) return undefined;
     const claimed = await log.claim(name);
     if (!claimed.ok) return undefined;
--- a/packages/daemon/src/settings/__tests__/settings.spec.ts
+++ b/packages/daemon/src/settings/__tests__/settings.spec.ts
@@ -48,7 +48,7 @@
   readonly name: string;
   readonly from: string | RegExp;
   readonly to: string;
-  /** Section, key and expectation that the problem must begin with. */
+  /** The text that the problem must start with: section, key, expectation. */
   readonly problem: string;
 }
 
@@ -202,7 +202,7 @@
 ];
 
 for (const {name, from, to, problem} of mistakes) {
-  test(`a mistake is named: ${name}`, t => {
+  test(`a mistake is reported: ${name}`, t => {
     const valid = readExample('settings.ini') + TOKEN;
     const text = valid.replace(from, to);
     t.not(text, valid);
@@ -216,7 +216,7 @@
   });
 }
 
-test('a file that can not be read is a problem of its own', async t => {
+test('an unreadable file is reported as a problem', async t => {
   const loaded = await loadSettings('/nonexistent/vm.ini');
   t.like(loaded, {ok: false, error: [{expected: 'a readable file'}]});
 });
--- a/packages/daemon/src/settings/settings.ts
+++ b/packages/daemon/src/settings/settings.ts
@@ -1,6 +1,7 @@
 /**
- * The settings of one process, read from INI and checked as a whole before any
- * port opens: a VM that starts with a wrong value would fail later and elsewhere.
+ * The settings of one process, read from INI and validated completely before
+ * any port opens: a wrong value would otherwise fail later and in another
+ * place.
  */
 
 import {readFile} from 'node:fs/promises';
@@ -33,7 +34,7 @@
 export type LogLevel = (typeof LOG_LEVELS)[number];
 export type Role = (typeof ROLES)[number];
 
-/** Bounds on what callers and peers may send. */
+/** Limits on what callers and peers may send. */
 export interface LimitSettings {
   readonly maxHeaderBytes: number;
   readonly maxBodyBytes: number;
@@ -50,7 +51,7 @@
 
 /** A credential for the administration API. */
 export interface TokenSettings {
-  /** Stands before the dot in the token itself. */
+  /** The part of the token before the dot. */
   readonly name: string;
   readonly team: TeamId;
   readonly roles: readonly Role[];
@@ -71,7 +72,7 @@
     readonly log: string;
     readonly vmList: string;
     readonly weightStore: string;
-    /** Appends a second that the log grants to the whole deployment. */
+    /** Appends per second that the log grants to the whole deployment. */
     readonly logAppendsPerSecond: number;
     readonly logRetentionMs: number;
     readonly weightFetchesPerSecond: number;
@@ -100,7 +101,7 @@
 
 const TOKEN_SECTION = /^token\.([A-Za-z0-9][A-Za-z0-9_-]{0,99})$/;
 
-/** Reads and checks the file at `path`. */
+/** Reads and validates the file at `path`. */
 export async function loadSettings(
   path: string,
 ): Promise<Result<Settings, readonly ConfigProblem[]>> {
@@ -113,7 +114,7 @@
   }
 }
 
-/** Reads and checks `text`; `file` names it in problems. */
+/** Parses and validates `text`; problems name `file` as its source. */
 export function parseSettings(
   text: string,
   file: string,
@@ -184,8 +185,8 @@
   }
 
   private checkCombinations({vm, leases}: SettingsValues): void {
-    // A renewal that comes in the last moment is late after one slow append, and
-    // every step of the VM moves to another owner.
+    // If a session is renewed too close to its expiry, one slow append lets it
+    // expire, and every step of the VM moves to another owner.
     if (leases.session_renewal * 2 > leases.session_ttl) {
       this.addProblem(
         this.findSection('leases'),
@@ -204,7 +205,7 @@
         this.findSection('vm'),
         '',
         expected,
-        'one address twice',
+        'the same address twice',
       );
     }
   }
@@ -216,7 +217,7 @@
     return readSection(section, spec, this.file, this.problems);
   }
 
-  /** The section, or an empty one: each may be left out if no key is required. */
+  /** Finds a section; returns an empty one if the file does not contain it. */
   private findSection(name: string): IniSection {
     const section = this.sections.find(s => s.name === name);
     return section ?? {name, line: 0, entries: []};
--- a/packages/daemon/src/settings/settings_change.ts
+++ b/packages/daemon/src/settings/settings_change.ts
@@ -1,9 +1,9 @@
 /**
- * What a reload of the settings means. All settings hold for the life of a
- * process, so a change is told and waits for the next start.
+ * The outcome of a settings reload. Settings are fixed while a process runs, so
+ * a change is only logged and applies from the next start.
  */
 
-/** What became of a settings file, for the log. */
+/** Describes for the log whether a reloaded settings file differs. */
 export function describeSettingsChange(current: object, next: object): string {
   const isSame = JSON.stringify(current) === JSON.stringify(next);
   return isSame ? 'unchanged' : 'changes wait for the next start';
--- a/packages/daemon/src/settings/settings_schema.ts
+++ b/packages/daemon/src/settings/settings_schema.ts
@@ -1,4 +1,4 @@
-/** The keys of the process settings. */
+/** The sections and keys of the process settings, with types and defaults. */
 
 import {
   addressType,
@@ -16,12 +16,12 @@
 
 export const LOG_LEVELS = ['debug', 'info', 'warn', 'error'] as const;
 
-/** What a token allows. `publish` and `audit` include nothing but themselves. */
+/** What a token allows; no role includes another. */
 export const ROLES = ['read', 'publish', 'audit'] as const;
 
 const MAX_SEEDS = 64;
 
-/** Sections that appear once. */
+/** The sections that appear at most once, with their keys. */
 export const SETTINGS_SPEC = {
   vm: {
     id: required(
@@ -179,13 +179,13 @@
   },
 } as const;
 
-/** Keys of section `[tenants]` are tenants; this is what each is set to. */
+/** The value of a key in section `[tenants]`; the keys are tenant names. */
 export const TENANT_SPEC = required(
   nameType(),
   "Team that owns the tenant and whose rules decide the tenant's requests.",
 );
 
-/** Sections `[token.NAME]`: a credential for the administration API. */
+/** The keys of a section `[token.NAME]`, a credential for the admin API. */
 export const TOKEN_SPEC = {
   team: required(nameType(), 'Team that the token acts for.'),
   roles: required(
