--- a/packages/client/src/step_progress.ts
+++ b/packages/client/src/step_progress.ts
@@ -33,7 +33,7 @@
   }
 
   /** Takes note of `event` and says whether its content is new. */
-  admit(event: SettlingEvent): EventVerdict {
+  recordEvent(event: SettlingEvent): EventVerdict {
     // An owner that was paused past its lease may still write to an old
     // connection; its cursors no longer count and could hide newer ones.
     if (event.fencing < this.fencing) return 'outdated_owner';
--- a/packages/client/src/trainer_client.ts
+++ b/packages/client/src/trainer_client.ts
@@ -52,7 +52,7 @@
 const firstBackoffMs = 50;
 const maxBackoffMs = 1000;
 /** Rollouts read before an acknowledgement is sent at the latest. */
-const acknowledgeEvery = 16;
+const maxUnacknowledged = 16;
 const acknowledgeAfterMs = 200;
 
 /** How one connection of the stream ended. */
@@ -60,7 +60,7 @@
 
 export class TrainerClient {
   private readonly http: Dispatcher;
-  private turn = 0;
+  private originIndex = 0;
 
   constructor(private readonly options: TrainerClientOptions) {
     const silenceMs = options.silenceMs ?? defaultSilenceMs;
@@ -103,7 +103,7 @@
    */
   async runStep(options: FollowOptions): Promise<Result<StepSummary>> {
     const progress = options.progress ?? new StepProgress();
-    const follower = new Follower(this, options, progress);
+    const follower = new StepFollower(this, options, progress);
     let backoffMs = firstBackoffMs;
     let opened = false;
     let reconnects = -1;
@@ -113,7 +113,7 @@
         if (!result.ok && !isWorthRetrying(result.error)) return result;
         opened = result.ok;
       }
-      const before = progress.position;
+      const previousPosition = progress.position;
       const end: StreamEnd = opened ? await this.follow(follower) : 'cut';
       if (opened) reconnects++;
       if (end === 'complete') {
@@ -122,7 +122,7 @@
       }
       if (end === 'step_unknown') opened = false;
       else if (end !== 'cut' && !isWorthRetrying(end)) return fail(end);
-      if (progress.position > before) backoffMs = firstBackoffMs;
+      if (progress.position > previousPosition) backoffMs = firstBackoffMs;
       await sleep(backoffMs);
       backoffMs = Math.min(maxBackoffMs, backoffMs * 2);
     }
@@ -133,7 +133,7 @@
     await this.http.destroy();
   }
 
-  private async follow(follower: Follower): Promise<StreamEnd> {
+  private async follow(follower: StepFollower): Promise<StreamEnd> {
     const {options, progress} = follower;
     const query = new URLSearchParams({
       cursor: String(progress.position),
@@ -151,7 +151,7 @@
         // The trainer moved on while this was on its way. It is left unread;
         // the new connection tells the version and the service runs it again.
         if (follower.isStale(event)) return 'cut';
-        if (follower.take(event)) return 'complete';
+        if (follower.handleEvent(event)) return 'complete';
       }
     } catch {
       return 'cut';
@@ -167,7 +167,7 @@
     body?: string,
   ): Promise<Result<Dispatcher.ResponseData>> {
     const {origins, tenant} = this.options;
-    const origin = origins[this.turn % origins.length];
+    const origin = origins[this.originIndex % origins.length];
     try {
       const res = await this.http.request({
         origin,
@@ -182,17 +182,17 @@
       if (method === 'GET' && res.statusCode === 200) return succeed(res);
       const text = await res.body.text();
       if (res.statusCode < 300) return succeed(res);
-      this.turn++;
-      return fail(readError(text));
+      this.originIndex++;
+      return fail(decodeError(text));
     } catch {
-      this.turn++;
+      this.originIndex++;
       return fail(createError('endpoint_unreachable', `${origin} failed`));
     }
   }
 }
 
 /** Takes the events of one step, over all its connections. */
-class Follower {
+class StepFollower {
   private rollouts = 0;
   private shortfalls = 0;
   private duplicates = 0;
@@ -217,7 +217,7 @@
   }
 
   /** Returns whether the step is complete. */
-  take(event: StepEvent): boolean {
+  handleEvent(event: StepEvent): boolean {
     switch (event.kind) {
       case 'heartbeat':
         return false;
@@ -246,14 +246,14 @@
   private settle(
     event: Exclude<StepEvent, {readonly kind: 'heartbeat' | 'end'}>,
   ): void {
-    const verdict = this.progress.admit(event);
+    const verdict = this.progress.recordEvent(event);
     if (verdict === 'duplicate') this.duplicates++;
     if (verdict === 'outdated_owner') return;
-    if (verdict === 'take') this.passOn(event);
+    if (verdict === 'take') this.notifyTrainer(event);
     this.scheduleAcknowledgement();
   }
 
-  private passOn(
+  private notifyTrainer(
     event: Exclude<StepEvent, {readonly kind: 'heartbeat' | 'end'}>,
   ): void {
     if (event.kind === 'rollout') {
@@ -267,7 +267,7 @@
 
   private scheduleAcknowledgement(): void {
     this.unacknowledged++;
-    if (this.unacknowledged >= acknowledgeEvery) {
+    if (this.unacknowledged >= maxUnacknowledged) {
       void this.acknowledgeAll();
       return;
     }
@@ -283,17 +283,17 @@
   // Leaving the loop early destroys the body, which then reports the abort.
   body.on('error', () => undefined);
   const decoder = new TextDecoder();
-  let rest = '';
+  let remainder = '';
   for await (const chunk of body) {
     const text = decoder.decode(chunk as Buffer, {stream: true});
-    const lines = (rest + text).split('\n');
-    rest = lines.pop() ?? '';
+    const lines = (remainder + text).split('\n');
+    remainder = lines.pop() ?? '';
     yield* lines;
   }
 }
 
 /** Refusals after which the same call can succeed elsewhere or later. */
-const passingKinds: ReadonlySet<ErrorKind> = new Set<ErrorKind>([
+const transientKinds: ReadonlySet<ErrorKind> = new Set<ErrorKind>([
   'endpoint_unreachable',
   'draining',
   'not_current',
@@ -306,10 +306,10 @@
 ]);
 
 function isWorthRetrying(err: RadishyokeError): boolean {
-  return passingKinds.has(err.kind);
+  return transientKinds.has(err.kind);
 }
 
-function readError(text: string): RadishyokeError {
+function decodeError(text: string): RadishyokeError {
   try {
     const body = JSON.parse(text) as {
       readonly error: ErrorKind;
--- a/packages/daemon/src/log/stream_follower.ts
+++ b/packages/daemon/src/log/stream_follower.ts
@@ -92,10 +92,10 @@
       client,
       {...LOG_READER_DEFAULTS, stream},
       {
-        read: (records, caughtUp, oldest) =>
+        onRecords: (records, caughtUp, oldest) =>
           this.applyRecords(records, caughtUp, oldest),
-        expired: oldest => this.seekCheckpoint(oldest),
-        failed: () => this.onReadFailure(),
+        onExpired: oldest => this.seekCheckpoint(oldest),
+        onReadFailed: () => this.onReadFailure(),
         isAwaited: () => this.fold.isAwaited(),
       },
     );
@@ -114,7 +114,7 @@
    * back.
    */
   hurry(): void {
-    this.reader.hurry();
+    this.reader.skipPause();
   }
 
   /**
--- a/packages/daemon/src/peers/peer_links.ts
+++ b/packages/daemon/src/peers/peer_links.ts
@@ -68,7 +68,7 @@
     for (const link of this.dialledLinks.values()) link.close();
   }
 
-  opened(link: PeerLink, peer: Member): void {
+  onOpened(link: PeerLink, peer: Member): void {
     this.allLinks.add(link);
     this.openLinks.set(peer.id, link);
     this.handler.linked(peer);
@@ -78,11 +78,11 @@
     if (opening.link === link) this.openingLinks.delete(peer.id);
   }
 
-  received(link: PeerLink, message: GossipMessage): void {
+  onMessage(link: PeerLink, message: GossipMessage): void {
     this.handler.received(link.peer!.id, message);
   }
 
-  ended(link: PeerLink): void {
+  onEnded(link: PeerLink): void {
     this.allLinks.delete(link);
     if (link.peer && this.openLinks.get(link.peer.id) === link) {
       this.openLinks.delete(link.peer.id);
--- a/packages/shared/src/__tests__/schema_fuzz.spec.ts
+++ b/packages/shared/src/__tests__/schema_fuzz.spec.ts
@@ -16,7 +16,7 @@
     safeParse(body: unknown): {success: boolean; data?: unknown};
   };
   readonly valid: Json;
-  readonly holds: (data: never) => boolean;
+  readonly isValidOutput: (data: never) => boolean;
 }
 
 const isCount = (n: unknown) => Number.isSafeInteger(n) && (n as number) >= 0;
@@ -43,7 +43,7 @@
       timeoutMs: 1000,
       groups: [{prompt: 'p', samples: 2, maxTokens: 10}],
     },
-    holds: (step: StepBody) =>
+    isValidOutput: (step: StepBody) =>
       isCount(step.weightVersion) &&
       isCount(step.maxStaleness) &&
       step.timeoutMs > 0 &&
@@ -83,7 +83,7 @@
         },
       ],
     },
-    holds: (list: {
+    isValidOutput: (list: {
       readonly vms: ReadonlyArray<{readonly id: string}>;
       readonly endpoints: ReadonlyArray<{
         readonly id: string;
@@ -105,7 +105,7 @@
       leaving: false,
       measuredAtMs: 1_700_000_000_000,
     },
-    holds: (load: {
+    isValidOutput: (load: {
       readonly running: number;
       readonly waiting: number;
       readonly weightVersion: number;
@@ -129,17 +129,21 @@
 }
 
 /** A copy of `value` with another value at `path`; undefined removes it. */
-function replaceAt(value: Json, path: Path, other: Json | undefined): unknown {
-  if (path.length === 0) return other;
+function replaceAt(
+  value: Json,
+  path: Path,
+  replacement: Json | undefined,
+): unknown {
+  if (path.length === 0) return replacement;
   const [key, ...rest] = path;
   const copy = structuredClone(value) as Record<string, Json>;
-  const child = replaceAt(copy[key], rest, other);
+  const child = replaceAt(copy[key], rest, replacement);
   if (child === undefined) delete copy[key];
   else copy[key] = child as Json;
   return copy;
 }
 
-const oddValueArb: fc.Arbitrary<Json | undefined> = fc.oneof(
+const unusualValueArb: fc.Arbitrary<Json | undefined> = fc.oneof(
   fc.jsonValue(),
   fc.constantFrom<Json | undefined>(
     undefined,
@@ -161,9 +165,11 @@
     t.true(c.schema.safeParse(c.valid).success);
     const pathArb = fc.constantFrom(...listPaths(c.valid));
     fc.assert(
-      fc.property(pathArb, oddValueArb, (path, other) => {
-        const read = c.schema.safeParse(replaceAt(c.valid, path, other));
-        t.true(!read.success || c.holds(read.data as never));
+      fc.property(pathArb, unusualValueArb, (path, replacement) => {
+        const parsed = c.schema.safeParse(
+          replaceAt(c.valid, path, replacement),
+        );
+        t.true(!parsed.success || c.isValidOutput(parsed.data as never));
       }),
       PARAMETERS,
     );
@@ -172,8 +178,8 @@
   test(`${c.name} refuses what has another shape`, t => {
     fc.assert(
       fc.property(fc.anything(), body => {
-        const read = c.schema.safeParse(body);
-        t.true(!read.success || c.holds(read.data as never));
+        const parsed = c.schema.safeParse(body);
+        t.true(!parsed.success || c.isValidOutput(parsed.data as never));
       }),
       PARAMETERS,
     );
--- a/packages/shared/src/error_kind.ts
+++ b/packages/shared/src/error_kind.ts
@@ -49,7 +49,7 @@
   readonly message: string;
 }
 
-function answer(
+function createAnswer(
   status: number,
   ran: Ran,
   retryable: boolean,
@@ -59,112 +59,132 @@
 }
 
 export const ERROR_ANSWERS: Readonly<Record<ErrorKind, ErrorAnswer>> = {
-  bad_request: answer(400, 'no', false, 'the request is malformed'),
-  too_large: answer(413, 'no', false, 'the request is over a size limit'),
-  unauthorized: answer(401, 'no', false, 'credentials are missing or wrong'),
-  forbidden: answer(403, 'no', false, 'these credentials do not allow this'),
-  not_found: answer(404, 'no', false, 'there is nothing under this name'),
-  step_conflict: answer(
+  bad_request: createAnswer(400, 'no', false, 'the request is malformed'),
+  too_large: createAnswer(413, 'no', false, 'the request is over a size limit'),
+  unauthorized: createAnswer(
+    401,
+    'no',
+    false,
+    'credentials are missing or wrong',
+  ),
+  forbidden: createAnswer(
+    403,
+    'no',
+    false,
+    'these credentials do not allow this',
+  ),
+  not_found: createAnswer(404, 'no', false, 'there is nothing under this name'),
+  step_conflict: createAnswer(
     409,
     'no',
     false,
     'the step id is taken by a step with another body',
   ),
-  no_rule: answer(403, 'no', false, 'no rule matches the request'),
-  refused_by_rule: answer(403, 'no', false, 'a rule refuses the request'),
-  no_endpoint: answer(503, 'no', true, 'no endpoint can take the request now'),
-  overloaded: answer(429, 'no', true, 'the queue for this work is full'),
-  deadline_unreachable: answer(
+  no_rule: createAnswer(403, 'no', false, 'no rule matches the request'),
+  refused_by_rule: createAnswer(403, 'no', false, 'a rule refuses the request'),
+  no_endpoint: createAnswer(
+    503,
+    'no',
+    true,
+    'no endpoint can take the request now',
+  ),
+  overloaded: createAnswer(429, 'no', true, 'the queue for this work is full'),
+  deadline_unreachable: createAnswer(
     503,
     'no',
     true,
     'the request can not be done before its deadline',
   ),
-  draining: answer(503, 'no', true, 'this VM is shutting down'),
-  not_current: answer(
+  draining: createAnswer(503, 'no', true, 'this VM is shutting down'),
+  not_current: createAnswer(
     503,
     'no',
     true,
     'this VM can not tell whether its configuration is current',
   ),
-  suspect_request: answer(
+  suspect_request: createAnswer(
     422,
     'no',
     false,
     'requests like this one crashed endpoints before',
   ),
-  held_back: answer(
+  held_back: createAnswer(
     503,
     'no',
     true,
     'requests like this one crashed endpoints; it is held back for a while',
   ),
-  duplicate_request: answer(
+  duplicate_request: createAnswer(
     409,
     'maybe',
     false,
     'a request with this id was accepted before and runs at most once',
   ),
-  endpoint_unreachable: answer(
+  endpoint_unreachable: createAnswer(
     502,
     'no',
     true,
     'no connection to the endpoint could be made',
   ),
-  endpoint_failed: answer(
+  endpoint_failed: createAnswer(
     502,
     'maybe',
     true,
     'the endpoint failed while it had the request',
   ),
-  endpoint_silent: answer(
+  endpoint_silent: createAnswer(
     504,
     'maybe',
     true,
     'the endpoint stopped answering while it had the request',
   ),
-  outcome_unknown: answer(
+  outcome_unknown: createAnswer(
     502,
     'maybe',
     false,
     'a non-idempotent request was sent and its outcome is unknown',
   ),
-  not_fresh_in_time: answer(
+  not_fresh_in_time: createAnswer(
     503,
     'maybe',
     true,
     'no rollout within the staleness bound could be had in time',
   ),
-  deadline_passed: answer(504, 'maybe', true, 'the deadline has passed'),
-  cancelled: answer(410, 'maybe', false, 'the caller cancelled this'),
-  stale_lease: answer(409, 'no', true, 'a newer owner holds the lease'),
-  not_owner: answer(503, 'no', true, 'another VM owns this step'),
-  config_conflict: answer(
+  deadline_passed: createAnswer(504, 'maybe', true, 'the deadline has passed'),
+  cancelled: createAnswer(410, 'maybe', false, 'the caller cancelled this'),
+  stale_lease: createAnswer(409, 'no', true, 'a newer owner holds the lease'),
+  not_owner: createAnswer(503, 'no', true, 'another VM owns this step'),
+  config_conflict: createAnswer(
     409,
     'no',
     true,
     'the publication was based on a version that is no longer the latest',
   ),
-  config_invalid: answer(422, 'no', false, 'the configuration is not valid'),
-  log_unavailable: answer(
+  config_invalid: createAnswer(
+    422,
+    'no',
+    false,
+    'the configuration is not valid',
+  ),
+  log_unavailable: createAnswer(
     503,
     'no',
     true,
     'the platform log can not be reached',
   ),
-  vm_list_unavailable: answer(
+  vm_list_unavailable: createAnswer(
     503,
     'no',
     true,
     'the platform VM list can not be reached',
   ),
-  store_unavailable: answer(
+  store_unavailable: createAnswer(
     503,
     'maybe',
     true,
     'the weight store is unavailable',
   ),
-  internal: answer(500, 'maybe', false, 'an internal error'),
+  internal: createAnswer(500, 'maybe', false, 'an internal error'),
 };
 
 /** A failure as a value. Tagged by `kind`; never thrown across a package. */
--- a/packages/shared/src/log_event.ts
+++ b/packages/shared/src/log_event.ts
@@ -4,12 +4,12 @@
  */
 
 /** Names a request, a batch or an item of a batch. A `fingerprint` beside it names what is asked: repeats share it. */
-type Subject = {
+type RequestFields = {
   readonly requestId: string | undefined;
 };
 
 /** The rule and configuration that a decision followed. */
-type Decided = {
+type DecisionFields = {
   readonly rule: string | undefined;
   readonly configVersion: number;
 };
@@ -24,7 +24,7 @@
 };
 
 /** Entries that one reading of the list brought. */
-type EndpointsFields = {
+type EndpointListFields = {
   readonly count: number;
   /** Ids of some of them, separated by commas. */
   readonly endpoints: string;
@@ -33,7 +33,7 @@
 };
 
 /** One generation of an item on an engine. */
-type RunFields = Subject & {
+type RunFields = RequestFields & {
   readonly batch: string;
   readonly endpoint: string;
   readonly reason: string;
@@ -43,14 +43,14 @@
 };
 
 /** One reward call for an item's text. */
-type RewardFields = Subject & {
+type RewardFields = RequestFields & {
   readonly batch: string;
   /** Id of the call. */
   readonly call: string;
   readonly endpoint: string;
 };
 
-type BatchFailure = Subject & {
+type BatchFailureFields = RequestFields & {
   readonly rule: string | undefined;
   readonly outcome: string;
   readonly detail: string | undefined;
@@ -140,8 +140,8 @@
   };
   /** A request beside which endpoints crashed ran to its end. */
   readonly 'request cleared': {readonly fingerprint: string};
-  readonly 'request held back': Subject &
-    Decided & {
+  readonly 'request held back': RequestFields &
+    DecisionFields & {
       readonly fingerprint: string;
       /** Crashes of endpoints that had it, as far as kept. */
       readonly crashes: number;
@@ -154,11 +154,11 @@
   readonly 'endpoint stale': EndpointFields;
   readonly 'endpoint left': EndpointFields;
   /** Many at once share a line. */
-  readonly 'endpoints joined': EndpointsFields;
-  readonly 'endpoints reborn': EndpointsFields;
-  readonly 'endpoints draining': EndpointsFields;
-  readonly 'endpoints stale': EndpointsFields;
-  readonly 'endpoints left': EndpointsFields;
+  readonly 'endpoints joined': EndpointListFields;
+  readonly 'endpoints reborn': EndpointListFields;
+  readonly 'endpoints draining': EndpointListFields;
+  readonly 'endpoints stale': EndpointListFields;
+  readonly 'endpoints left': EndpointListFields;
   readonly 'report of an engine can not be read': {
     readonly endpoint: string;
     readonly detail: string | undefined;
@@ -180,13 +180,13 @@
     readonly expectedOrders: number;
     readonly outcome: string;
   };
-  readonly request: Subject &
-    Decided & {
+  readonly request: RequestFields &
+    DecisionFields & {
       readonly account: string | undefined;
       readonly outcome: string;
       readonly tookMs: number;
     };
-  readonly 'request refused': Subject & {
+  readonly 'request refused': RequestFields & {
     readonly configVersion: number;
     readonly host: string | undefined;
     readonly path: string | undefined;
@@ -194,17 +194,17 @@
     readonly key: string | undefined;
     readonly outcome: string;
   };
-  readonly 'request failed inside': Subject & {readonly detail: string};
-  readonly 'attempt failed': Subject &
-    Decided & {
+  readonly 'request failed inside': RequestFields & {readonly detail: string};
+  readonly 'attempt failed': RequestFields &
+    DecisionFields & {
       readonly endpoint: string;
       readonly tookMs: number;
       readonly outcome: string;
       readonly detail: string;
       readonly fingerprint: string;
     };
-  readonly 'stream attempt ended': Subject &
-    Decided & {
+  readonly 'stream attempt ended': RequestFields &
+    DecisionFields & {
       readonly endpoint: string;
       /** Last event that reached the caller; -1 for none. */
       readonly lastEvent: number;
@@ -212,8 +212,8 @@
       readonly detail: string;
       readonly fingerprint: string;
     };
-  readonly 'batch accepted': Subject &
-    Decided & {
+  readonly 'batch accepted': RequestFields &
+    DecisionFields & {
       readonly account: string | undefined;
       readonly step: number;
       readonly model: string;
@@ -222,10 +222,10 @@
       readonly partition: number;
       readonly offset: number;
     };
-  readonly 'batch end': Subject;
-  readonly 'batch submit failed': BatchFailure;
-  readonly 'batch end failed': BatchFailure;
-  readonly 'batch call refused': Subject & {
+  readonly 'batch end': RequestFields;
+  readonly 'batch submit failed': BatchFailureFields;
+  readonly 'batch end failed': BatchFailureFields;
+  readonly 'batch call refused': RequestFields & {
     readonly call: string;
     readonly outcome: string;
     readonly detail: string | undefined;
@@ -240,7 +240,7 @@
   readonly 'run misdirected': RunFields;
   readonly 'run unreachable': RunFields;
   readonly 'run broken': RunFields & {readonly fingerprint: string};
-  readonly 'reward call started': RewardFields & Decided;
+  readonly 'reward call started': RewardFields & DecisionFields;
   readonly 'reward call ended': RewardFields & {
     readonly outcome: string;
     readonly detail: string;
@@ -254,7 +254,7 @@
     readonly batch: string;
     readonly detail: string | undefined;
   };
-  readonly 'item has a result': Subject & {
+  readonly 'item has a result': RequestFields & {
     readonly batch: string;
     readonly outcome: string;
     readonly reason: string;
--- a/packages/stores/src/__tests__/decoder_fuzz.spec.ts
+++ b/packages/stores/src/__tests__/decoder_fuzz.spec.ts
@@ -9,7 +9,7 @@
 } from '../http_log_client.js';
 import {decodeVmList} from '../http_vm_list_client.js';
 import {decodeVersions} from '../http_weight_store_client.js';
-import {PATIENT} from './transport_fault_cases.js';
+import {LONG_TIMEOUT} from './transport_fault_cases.js';
 
 const PARAMETERS = {seed: 20_240_604, numRuns: 1000};
 
@@ -107,8 +107,8 @@
     const {port} = server.address() as net.AddressInfo;
     const client = new HttpLogClient(`127.0.0.1:${port}`);
     const query = {from: 0, max: 1, waitMs: 0};
-    t.false((await client.read('state', query, PATIENT)).ok);
-    t.is((await client.append('state', [1], PATIENT)).kind, 'unknown');
+    t.false((await client.read('state', query, LONG_TIMEOUT)).ok);
+    t.is((await client.append('state', [1], LONG_TIMEOUT)).kind, 'unknown');
     await client.close();
     server.close();
   });
--- a/packages/stores/src/__tests__/http_log_client.spec.ts
+++ b/packages/stores/src/__tests__/http_log_client.spec.ts
@@ -7,7 +7,7 @@
 } from '../http_log_client.js';
 import type {AppendResult} from '../log_client.js';
 import {testLogClient} from './log_client_contract.js';
-import {PATIENT} from './transport_fault_cases.js';
+import {LONG_TIMEOUT} from './transport_fault_cases.js';
 
 testLogClient('HttpLogClient', async () => {
   const log = await startFakeLog();
@@ -23,19 +23,22 @@
   const log = await startFakeLog();
   await log.close();
   const client = new HttpLogClient(log.address);
-  t.is((await client.append('state', [1], PATIENT)).kind, 'refused');
+  t.is((await client.append('state', [1], LONG_TIMEOUT)).kind, 'refused');
   await client.close();
 });
 
-const record = (offset: number) => ({offset, timeMs: 1, value: null});
+const createRecord = (offset: number) => ({offset, timeMs: 1, value: null});
 
 const BROKEN_PAGES: ReadonlyArray<readonly [name: string, body: unknown]> = [
   ['no JSON', undefined],
   ['no records', {oldest: 0, next: 6}],
-  ['a hole', {oldest: 0, next: 8, records: [record(5), record(7)]}],
-  ['a record twice', {oldest: 0, next: 7, records: [record(5), record(5)]}],
-  ['not what was asked for', {oldest: 0, next: 5, records: [record(4)]}],
-  ['next skips a record', {oldest: 0, next: 7, records: [record(5)]}],
+  ['a hole', {oldest: 0, next: 8, records: [createRecord(5), createRecord(7)]}],
+  [
+    'a record twice',
+    {oldest: 0, next: 7, records: [createRecord(5), createRecord(5)]},
+  ],
+  ['not what was asked for', {oldest: 0, next: 5, records: [createRecord(4)]}],
+  ['next skips a record', {oldest: 0, next: 7, records: [createRecord(5)]}],
   ['a negative offset', {oldest: -1, next: 5, records: []}],
 ];
 
--- a/packages/stores/src/__tests__/log_client_contract.ts
+++ b/packages/stores/src/__tests__/log_client_contract.ts
@@ -10,10 +10,10 @@
   LogRead,
 } from '../log_client.js';
 import {
-  HASTY,
-  PATIENT,
+  SHORT_TIMEOUT,
+  LONG_TIMEOUT,
   TRANSPORT_FAULT_CASES,
-  turnLoop,
+  waitForNextTurn,
 } from './transport_fault_cases.js';
 
 /** A client, and the log behind it. */
@@ -26,7 +26,7 @@
 interface AppendCase {
   readonly name: string;
   readonly apply: (harness: LogHarness) => void;
-  readonly isHasty?: boolean;
+  readonly usesShortTimeout?: boolean;
   readonly expected: AppendResult['kind'];
   /** Records that stand afterwards; undefined where either may be. */
   readonly records?: number;
@@ -65,13 +65,13 @@
   {
     name: 'an answer after the timeout',
     apply: setFault({kind: 'delay', delayMs: 500}),
-    isHasty: true,
+    usesShortTimeout: true,
     expected: 'unknown',
   },
   {
     name: 'open connections gone silent',
     apply: setFault({kind: 'silent', connections: 'open'}),
-    isHasty: true,
+    usesShortTimeout: true,
     expected: 'unknown',
     records: 0,
   },
@@ -98,17 +98,17 @@
       withHarness(async (t, harness) => {
         const {client, faults} = harness;
         // Opens a connection for those faults that need one.
-        await client.read('state', FIRST_PAGE, PATIENT);
-        await turnLoop();
+        await client.read('state', FIRST_PAGE, LONG_TIMEOUT);
+        await waitForNextTurn();
         c.apply(harness);
-        const options = c.isHasty ? HASTY : PATIENT;
+        const options = c.usesShortTimeout ? SHORT_TIMEOUT : LONG_TIMEOUT;
         const result = await client.append('state', [{n: 1}], options);
         t.is(result.kind, c.expected);
         faults.clear();
-        const before = await readValues(client, FIRST_PAGE);
-        if (c.records !== undefined) t.is(before.length, c.records);
-        const again = await appendWhenAllowed(client);
-        t.like(again, {kind: 'appended', next: before.length + 1});
+        const storedBefore = await readValues(client, FIRST_PAGE);
+        if (c.records !== undefined) t.is(storedBefore.length, c.records);
+        const nextAppend = await appendWhenAllowed(client);
+        t.like(nextAppend, {kind: 'appended', next: storedBefore.length + 1});
       }),
     );
 
@@ -116,10 +116,10 @@
     test(
       `${label}: read, ${c.name}`,
       withHarness(async (t, {client, faults}) => {
-        await client.append('state', [{n: 1}], PATIENT);
-        await turnLoop();
+        await client.append('state', [{n: 1}], LONG_TIMEOUT);
+        await waitForNextTurn();
         faults.set(c.fault);
-        const options = c.timesOut ? HASTY : PATIENT;
+        const options = c.timesOut ? SHORT_TIMEOUT : LONG_TIMEOUT;
         const result = await client.read('state', FIRST_PAGE, options);
         t.false(result.ok);
         t.is(!result.ok && result.error.kind, 'log_unavailable');
@@ -132,7 +132,7 @@
     `${label}: a refusal over the limit tells when to come back`,
     withHarness(async (t, {client, faults}) => {
       faults.set({kind: 'append_limit', appendsPerSecond: 0.1});
-      const result = await client.append('audit', [1], PATIENT);
+      const result = await client.append('audit', [1], LONG_TIMEOUT);
       t.is(result.kind === 'refused' && result.error.retryAfterMs, 9_000);
     }),
   );
@@ -142,7 +142,7 @@
     withHarness(async (t, {client}) => {
       const writers = Array.from({length: 20}, (_, w) => [`${w}a`, `${w}b`]);
       const results = await Promise.all(
-        writers.map(values => client.append('state', values, PATIENT)),
+        writers.map(values => client.append('state', values, LONG_TIMEOUT)),
       );
       const stored = await readValues(client, FIRST_PAGE);
       t.is(stored.length, 2 * writers.length);
@@ -157,7 +157,7 @@
     `${label}: pages join without gaps`,
     withHarness(async (t, {client}) => {
       const values = Array.from({length: 10}, (_, n) => ({n}));
-      await client.append('config', values, PATIENT);
+      await client.append('config', values, LONG_TIMEOUT);
       const stored: unknown[] = [];
       for (;;) {
         const query = {from: stored.length, max: 3, waitMs: 0};
@@ -173,10 +173,10 @@
   test(
     `${label}: a waiting read gets the next record`,
     withHarness(async (t, {client}) => {
-      const query = {from: 0, max: 10, waitMs: PATIENT.timeoutMs};
+      const query = {from: 0, max: 10, waitMs: LONG_TIMEOUT.timeoutMs};
       const read = readValues(client, query);
-      await client.append('config', ['other stream'], PATIENT);
-      await client.append('state', ['next'], PATIENT);
+      await client.append('config', ['other stream'], LONG_TIMEOUT);
+      await client.append('state', ['next'], LONG_TIMEOUT);
       t.deepEqual(await read, ['next']);
       t.deepEqual(await readValues(client, {from: 1, max: 10, waitMs: 10}), []);
     }),
@@ -186,8 +186,8 @@
     `${label}: a read below what retention has left tells the oldest offset`,
     withHarness(async (t, {client, faults}) => {
       faults.set({kind: 'retention', retainRecords: 2});
-      await client.append('state', ['a', 'b', 'c'], PATIENT);
-      const expired = await client.read('state', FIRST_PAGE, PATIENT);
+      await client.append('state', ['a', 'b', 'c'], LONG_TIMEOUT);
+      const expired = await client.read('state', FIRST_PAGE, LONG_TIMEOUT);
       const value: LogRead = {kind: 'expired', oldest: 1};
       t.deepEqual(expired, {ok: true, value});
       const left = await readValues(client, {...FIRST_PAGE, from: 1});
@@ -198,8 +198,8 @@
   test(
     `${label}: closing breaks a waiting read`,
     withHarness(async (t, {client}) => {
-      const query = {from: 0, max: 1, waitMs: PATIENT.timeoutMs};
-      const read = client.read('state', query, PATIENT);
+      const query = {from: 0, max: 1, waitMs: LONG_TIMEOUT.timeoutMs};
+      const read = client.read('state', query, LONG_TIMEOUT);
       await client.close();
       t.false((await read).ok);
     }),
@@ -211,7 +211,7 @@
   query: LogQuery,
   stream: 'config' | 'state' | 'audit' = 'state',
 ): Promise<readonly unknown[]> {
-  const result = await client.read(stream, query, PATIENT);
+  const result = await client.read(stream, query, LONG_TIMEOUT);
   if (!result.ok) throw new Error(result.error.detail);
   if (result.value.kind !== 'page') throw new Error('expired');
   return result.value.records.map(record => record.value);
@@ -219,7 +219,7 @@
 
 async function appendWhenAllowed(client: LogClient): Promise<AppendResult> {
   for (;;) {
-    const result = await client.append('state', [{n: 2}], PATIENT);
+    const result = await client.append('state', [{n: 2}], LONG_TIMEOUT);
     if (result.kind !== 'refused') return result;
   }
 }
--- a/packages/stores/src/__tests__/log_writer.spec.ts
+++ b/packages/stores/src/__tests__/log_writer.spec.ts
@@ -14,7 +14,7 @@
   readonly name: number;
 }
 
-type Fate = 'answered' | 'answer_lost' | 'delayed' | 'refused';
+type AppendOutcome = 'answered' | 'answer_lost' | 'delayed' | 'refused';
 
 const ERROR = createError('log_unavailable');
 const ANSWER_MS = 5;
@@ -26,9 +26,9 @@
   readonly records: TestRecord[] = [];
   appends = 0;
   inFlight = 0;
-  mostInFlight = 0;
+  maxInFlight = 0;
 
-  constructor(private readonly fates: Fate[]) {
+  constructor(private readonly outcomes: AppendOutcome[]) {
     super();
   }
 
@@ -37,16 +37,16 @@
     values: readonly unknown[],
   ): Promise<AppendResult> {
     this.appends++;
-    this.mostInFlight = Math.max(this.mostInFlight, ++this.inFlight);
-    const fate = this.fates.shift() ?? 'answered';
+    this.maxInFlight = Math.max(this.maxInFlight, ++this.inFlight);
+    const outcome = this.outcomes.shift() ?? 'answered';
     const first = this.records.length;
-    const take = () => this.records.push(...(values as TestRecord[]));
-    if (fate === 'delayed') setTimeout(take, DELAY_MS);
-    if (fate === 'answered' || fate === 'answer_lost') take();
+    const store = () => this.records.push(...(values as TestRecord[]));
+    if (outcome === 'delayed') setTimeout(store, DELAY_MS);
+    if (outcome === 'answered' || outcome === 'answer_lost') store();
     await new Promise(resolve => setTimeout(resolve, ANSWER_MS));
     this.inFlight--;
-    if (fate === 'refused') return {kind: 'refused', error: ERROR};
-    if (fate !== 'answered') return {kind: 'unknown', error: ERROR};
+    if (outcome === 'refused') return {kind: 'refused', error: ERROR};
+    if (outcome !== 'answered') return {kind: 'unknown', error: ERROR};
     return {kind: 'appended', first, next: first + values.length};
   }
 
@@ -68,7 +68,7 @@
 }
 
 /** Settles what stands, in order, as the VM's reader would. */
-function readBack(
+function startReadBack(
   writer: LogWriter<TestRecord, number>,
   client: ScriptedClient,
 ) {
@@ -84,23 +84,23 @@
 // A commit is lost, or counts twice, after answers of the log got lost and
 // appends arrived late, one overtaking the other.
 test.serial('each record stands, in order and once by its number', async t => {
-  const fate = fc.constantFrom<Fate>(
+  const outcomeArb = fc.constantFrom<AppendOutcome>(
     'answered',
     'answer_lost',
     'delayed',
     'refused',
   );
-  const pauses = fc.array(fc.nat(300), {minLength: 1, maxLength: 20});
+  const waitsArb = fc.array(fc.nat(300), {minLength: 1, maxLength: 20});
   const details = await fc.check(
     fc.asyncProperty(
-      fc.array(fate, {maxLength: 12}),
-      pauses,
-      async (fates, waits) => {
+      fc.array(outcomeArb, {maxLength: 12}),
+      waitsArb,
+      async (outcomes, waits) => {
         const clock = FakeTimers.install();
         try {
-          const client = new ScriptedClient([...fates]);
+          const client = new ScriptedClient([...outcomes]);
           const writer = createWriter(client, 100);
-          const reader = readBack(writer, client);
+          const reader = startReadBack(writer, client);
           const results: Array<Promise<Result<number>>> = [];
           for (const [name, waitMs] of waits.entries()) {
             results.push(writer.append({name}));
@@ -120,7 +120,7 @@
           return (
             names.join() === expected.join() &&
             counted.map(record => record.name).join() === expected.join() &&
-            client.mostInFlight === 1
+            client.maxInFlight === 1
           );
         } finally {
           clock.uninstall();
@@ -140,7 +140,7 @@
     const clock = FakeTimers.install();
     const client = new ScriptedClient([]);
     const writer = createWriter(client, 8);
-    const reader = readBack(writer, client);
+    const reader = startReadBack(writer, client);
     const results = Array.from({length: 10}, (_, name) =>
       writer.append({name}),
     );
--- a/packages/stores/src/__tests__/transport_fault_cases.ts
+++ b/packages/stores/src/__tests__/transport_fault_cases.ts
@@ -38,11 +38,11 @@
 ];
 
 /** For calls that must succeed however busy the machine is. */
-export const PATIENT = {timeoutMs: 20_000};
+export const LONG_TIMEOUT = {timeoutMs: 20_000};
 /** For calls that must fail by their timeout. */
-export const HASTY = {timeoutMs: 100};
+export const SHORT_TIMEOUT = {timeoutMs: 100};
 
 /** Lets a client take back the connection of a call that has just ended. */
-export function turnLoop(): Promise<void> {
+export function waitForNextTurn(): Promise<void> {
   return new Promise(resolve => setImmediate(resolve));
 }
--- a/packages/stores/src/__tests__/vm_list_client_contract.ts
+++ b/packages/stores/src/__tests__/vm_list_client_contract.ts
@@ -7,10 +7,10 @@
 import test from 'ava';
 import type {VmListClient} from '../vm_list_client.js';
 import {
-  HASTY,
-  PATIENT,
+  SHORT_TIMEOUT,
+  LONG_TIMEOUT,
   TRANSPORT_FAULT_CASES,
-  turnLoop,
+  waitForNextTurn,
 } from './transport_fault_cases.js';
 
 /** A client, and the list behind it. */
@@ -59,29 +59,31 @@
       const {client, faults, update, close} = await start();
       t.teardown(close);
       update(createVmList());
-      t.deepEqual(await client.fetch(PATIENT), {
+      t.deepEqual(await client.fetch(LONG_TIMEOUT), {
         ok: true,
         value: createVmList(),
       });
-      await turnLoop();
+      await waitForNextTurn();
       faults.set(c.fault);
-      const result = await client.fetch(c.timesOut ? HASTY : PATIENT);
+      const result = await client.fetch(
+        c.timesOut ? SHORT_TIMEOUT : LONG_TIMEOUT,
+      );
       t.is(!result.ok && result.error.kind, 'vm_list_unavailable');
       faults.clear();
-      t.true((await client.fetch(PATIENT)).ok);
+      t.true((await client.fetch(LONG_TIMEOUT)).ok);
     });
 
   test(`${label}: the list may lag`, async t => {
     const {client, faults, update, close} = await start();
     t.teardown(close);
     update(createVmList());
-    await client.fetch(PATIENT);
+    await client.fetch(LONG_TIMEOUT);
     faults.set({kind: 'lag', lagMs: 1e9});
     update(createVmList('leaving'));
-    const shown = await client.fetch(PATIENT);
+    const shown = await client.fetch(LONG_TIMEOUT);
     t.deepEqual(shown, {ok: true, value: createVmList()});
     faults.clear();
-    const latest = await client.fetch(PATIENT);
+    const latest = await client.fetch(LONG_TIMEOUT);
     t.deepEqual(latest, {ok: true, value: createVmList('leaving')});
   });
 }
--- a/packages/stores/src/__tests__/weight_store_client_contract.ts
+++ b/packages/stores/src/__tests__/weight_store_client_contract.ts
@@ -5,10 +5,10 @@
 import test from 'ava';
 import type {WeightStoreClient} from '../weight_store_client.js';
 import {
-  HASTY,
-  PATIENT,
+  SHORT_TIMEOUT,
+  LONG_TIMEOUT,
   TRANSPORT_FAULT_CASES,
-  turnLoop,
+  waitForNextTurn,
 } from './transport_fault_cases.js';
 
 /** A client, and the store behind it. */
@@ -36,20 +36,26 @@
         {version: 2, bytes: 20},
         {version: 3, bytes: 30},
       ];
-      t.deepEqual(await client.listVersions(MODEL, PATIENT), {ok: true, value});
-      await turnLoop();
+      t.deepEqual(await client.listVersions(MODEL, LONG_TIMEOUT), {
+        ok: true,
+        value,
+      });
+      await waitForNextTurn();
       faults.set(c.fault);
-      const options = c.timesOut ? HASTY : PATIENT;
+      const options = c.timesOut ? SHORT_TIMEOUT : LONG_TIMEOUT;
       const result = await client.listVersions(MODEL, options);
       t.is(!result.ok && result.error.kind, 'store_unavailable');
       faults.clear();
-      t.deepEqual(await client.listVersions(MODEL, PATIENT), {ok: true, value});
+      t.deepEqual(await client.listVersions(MODEL, LONG_TIMEOUT), {
+        ok: true,
+        value,
+      });
     });
 
   test(`${label}: an unknown model has no versions`, async t => {
     const {client, close} = await start();
     t.teardown(close);
     const none = {ok: true, value: []} as const;
-    t.deepEqual(await client.listVersions('other', PATIENT), none);
+    t.deepEqual(await client.listVersions('other', LONG_TIMEOUT), none);
   });
 }
--- a/packages/stores/src/append_budget.ts
+++ b/packages/stores/src/append_budget.ts
@@ -13,7 +13,7 @@
  */
 export class AppendBudget {
   private tokens = BURST_APPENDS;
-  private filledAtMs = 0;
+  private refilledAtMs = 0;
 
   constructor(private appendsPerSecond: number) {}
 
@@ -27,21 +27,21 @@
   }
 
   /** Ms until an append may be made; 0 for now. */
-  waitMs(nowMs: number): number {
+  getWaitMs(nowMs: number): number {
     this.refill(nowMs);
     if (this.tokens >= 1) return 0;
     const missing = 1 - this.tokens;
     return Math.ceil((missing * MS_PER_SECOND) / this.appendsPerSecond);
   }
 
-  take(nowMs: number): void {
+  takeToken(nowMs: number): void {
     this.refill(nowMs);
     this.tokens -= 1;
   }
 
   private refill(nowMs: number): void {
-    const elapsedMs = Math.max(0, nowMs - this.filledAtMs);
-    this.filledAtMs = nowMs;
+    const elapsedMs = Math.max(0, nowMs - this.refilledAtMs);
+    this.refilledAtMs = nowMs;
     const gained = (elapsedMs * this.appendsPerSecond) / MS_PER_SECOND;
     this.tokens = Math.min(BURST_APPENDS, this.tokens + gained);
   }
--- a/packages/stores/src/http_json.ts
+++ b/packages/stores/src/http_json.ts
@@ -44,7 +44,7 @@
     };
 
 /** Calls one address. Holds its connections until closed. */
-export class JsonCaller {
+export class JsonHttpClient {
   private readonly origin: string;
   private agent = createAgent();
   /** Agents that take no new calls and wait for theirs to end. */
@@ -63,16 +63,16 @@
       this.retire(agent);
       abort.abort(new Error(`no answer in ${timeoutMs} ms`));
     }, timeoutMs);
-    const relay = () => abort.abort(new Error('the call was aborted'));
-    if (options.signal?.aborted) relay();
-    options.signal?.addEventListener('abort', relay);
+    const abortCall = () => abort.abort(new Error('the call was aborted'));
+    if (options.signal?.aborted) abortCall();
+    options.signal?.addEventListener('abort', abortCall);
     try {
       return await this.send(agent, call, abort.signal);
     } catch (err) {
       return describeFailure(err);
     } finally {
       clearTimeout(timer);
-      options.signal?.removeEventListener('abort', relay);
+      options.signal?.removeEventListener('abort', abortCall);
     }
   }
 
@@ -90,8 +90,8 @@
     if (this.agent !== agent) return;
     this.agent = createAgent();
     this.retired.add(agent);
-    const forget = () => this.retired.delete(agent);
-    agent.close().then(forget, forget);
+    const removeRetired = () => this.retired.delete(agent);
+    agent.close().then(removeRetired, removeRetired);
   }
 
   private async send(
@@ -136,15 +136,15 @@
 async function readText(
   body: Dispatcher.ResponseData['body'],
 ): Promise<string> {
-  const parts: Buffer[] = [];
+  const chunks: Buffer[] = [];
   let bytes = 0;
-  for await (const part of body) {
-    bytes += (part as Buffer).length;
+  for await (const chunk of body) {
+    bytes += (chunk as Buffer).length;
     if (bytes > MAX_ANSWER_BYTES)
       throw new Error(`the answer is over ${MAX_ANSWER_BYTES} bytes`);
-    parts.push(part as Buffer);
+    chunks.push(chunk as Buffer);
   }
-  return Buffer.concat(parts).toString('utf8');
+  return Buffer.concat(chunks).toString('utf8');
 }
 
 /** Parses a body; what is no JSON becomes undefined. */
--- a/packages/stores/src/http_log_client.ts
+++ b/packages/stores/src/http_log_client.ts
@@ -5,7 +5,7 @@
 import {fail, Result, succeed} from '@radishyoke/shared/result';
 import {z} from 'zod';
 import type {CallOptions} from './call_options.js';
-import {JsonAnswer, JsonCaller} from './http_json.js';
+import {JsonAnswer, JsonHttpClient} from './http_json.js';
 import {AppendResult, LogClient, LogQuery, LogRead} from './log_client.js';
 
 const offsetSchema = z.number().int().min(0);
@@ -25,12 +25,12 @@
 type Answered = Extract<JsonAnswer, {kind: 'answered'}>;
 
 export class HttpLogClient extends LogClient {
-  private readonly caller: JsonCaller;
+  private readonly http: JsonHttpClient;
 
   /** `address` is `ip:port`. */
   constructor(address: string) {
     super();
-    this.caller = new JsonCaller(address);
+    this.http = new JsonHttpClient(address);
   }
 
   async read(
@@ -40,7 +40,7 @@
   ): Promise<Result<LogRead>> {
     const {from, max, waitMs} = query;
     const search = `from=${from}&max=${max}&waitMs=${waitMs}`;
-    const answer = await this.caller.call(
+    const answer = await this.http.call(
       {method: 'GET', path: `/streams/${stream}/records?${search}`, waitMs},
       options,
     );
@@ -54,7 +54,7 @@
     values: readonly unknown[],
     options: CallOptions,
   ): Promise<AppendResult> {
-    const answer = await this.caller.call(
+    const answer = await this.http.call(
       {
         method: 'POST',
         path: `/streams/${stream}/records`,
@@ -69,7 +69,7 @@
   }
 
   close(): Promise<void> {
-    return this.caller.close();
+    return this.http.close();
   }
 }
 
@@ -83,9 +83,9 @@
     if (expired.success)
       return succeed({kind: 'expired', oldest: expired.data.oldest});
   }
-  if (answer.status !== 200) return fail(describeStatus(answer));
+  if (answer.status !== 200) return fail(createStatusError(answer));
   const page = readAnswerSchema.safeParse(answer.body);
-  if (!page.success || !isUnbroken(page.data.records, from, page.data.next))
+  if (!page.success || !isContiguous(page.data.records, from, page.data.next))
     return fail(createError('log_unavailable', 'the log answered nonsense'));
   const {oldest, next} = page.data;
   const records = page.data.records as ReadonlyArray<LoggedRecord<unknown>>;
@@ -95,7 +95,7 @@
 // A reader that skips or repeats a record folds another state than its peers,
 // which shows as two owners or a doubled rollout. A page with a hole is refused
 // as a whole, so that what a reader has folded is always a prefix of the stream.
-function isUnbroken(
+function isContiguous(
   records: ReadonlyArray<{readonly offset: number}>,
   from: number,
   next: number,
@@ -119,14 +119,14 @@
     const detail = 'the log took the append and answered nonsense';
     return {kind: 'unknown', error: createError('log_unavailable', detail)};
   }
-  const error = describeStatus(answer);
+  const error = createStatusError(answer);
   // The log promises of 4xx and 503 that nothing was appended. Any other 5xx
   // can come from something between, after the log has taken the records.
-  const refused = (status >= 400 && status < 500) || status === 503;
-  return {kind: refused ? 'refused' : 'unknown', error};
+  const isRefused = (status >= 400 && status < 500) || status === 503;
+  return {kind: isRefused ? 'refused' : 'unknown', error};
 }
 
-function describeStatus(answer: Answered) {
+function createStatusError(answer: Answered) {
   return createError('log_unavailable', `the log answered ${answer.status}`, {
     retryAfterMs: answer.retryAfterMs,
   });
--- a/packages/stores/src/http_weight_store_client.ts
+++ b/packages/stores/src/http_weight_store_client.ts
@@ -4,7 +4,7 @@
 import {fail, Result, succeed} from '@radishyoke/shared/result';
 import {z} from 'zod';
 import type {CallOptions} from './call_options.js';
-import {JsonCaller} from './http_json.js';
+import {JsonHttpClient} from './http_json.js';
 import {WeightStoreClient, WeightVersionInfo} from './weight_store_client.js';
 
 const versionsSchema = z.object({
@@ -17,12 +17,12 @@
 });
 
 export class HttpWeightStoreClient extends WeightStoreClient {
-  private readonly caller: JsonCaller;
+  private readonly http: JsonHttpClient;
 
   /** `address` is `ip:port`. */
   constructor(address: string) {
     super();
-    this.caller = new JsonCaller(address);
+    this.http = new JsonHttpClient(address);
   }
 
   async listVersions(
@@ -30,7 +30,7 @@
     options: CallOptions,
   ): Promise<Result<readonly WeightVersionInfo[]>> {
     const path = `/models/${encodeURIComponent(model)}/versions`;
-    const answer = await this.caller.call({method: 'GET', path}, options);
+    const answer = await this.http.call({method: 'GET', path}, options);
     if (answer.kind === 'failed')
       return fail(createError('store_unavailable', answer.detail));
     if (answer.status === 200) return decodeVersions(answer.body);
@@ -40,7 +40,7 @@
   }
 
   close(): Promise<void> {
-    return this.caller.close();
+    return this.http.close();
   }
 }
 
@@ -49,12 +49,12 @@
   body: unknown,
 ): Result<readonly WeightVersionInfo[]> {
   const list = versionsSchema.safeParse(body);
-  const ascending =
+  const isAscending =
     list.success &&
     list.data.versions.every(
       (v, i, all) => i === 0 || all[i - 1].version < v.version,
     );
-  if (!list.success || !ascending)
+  if (!list.success || !isAscending)
     return fail(
       createError('store_unavailable', 'the store answered nonsense'),
     );
--- a/packages/stores/src/log_reader.ts
+++ b/packages/stores/src/log_reader.ts
@@ -11,15 +11,15 @@
    * had no more at that moment; `oldest` is the lowest offset it still holds.
    * May return another offset to go on from.
    */
-  read(
+  onRecords(
     records: ReadonlyArray<LoggedRecord<T>>,
     caughtUp: boolean,
     oldest: number,
   ): number | undefined;
   /** Retention dropped the wanted offset; returns the offset to go on from. */
-  expired(oldest: number): number;
+  onExpired(oldest: number): number;
   /** A read failed; the reader goes on trying. */
-  failed(error: RadishyokeError): void;
+  onReadFailed(error: RadishyokeError): void;
   /** Whether somebody waits for a record to be read back. */
   isAwaited(): boolean;
 }
@@ -37,7 +37,7 @@
    * costs some hundred bytes of headers; read at once after each append, they
    * would outweigh the records.
    */
-  readonly gatherMs: number;
+  readonly readPauseMs: number;
 }
 
 /**
@@ -50,7 +50,7 @@
   maxRecords: 1000,
   pollWaitMs: 2000,
   timeoutMs: 1500,
-  gatherMs: 200,
+  readPauseMs: 200,
 } as const;
 
 const FIRST_BACKOFF_MS = 50;
@@ -59,10 +59,10 @@
 /** A task that reads until it is stopped. */
 export class LogReader<T> {
   private readonly abort = new AbortController();
-  private next = 0;
+  private nextOffset = 0;
   private wake: (() => void) | undefined;
-  private gathering = false;
-  private lastBrought = 0;
+  private isPausing = false;
+  private lastReadCount = 0;
 
   constructor(
     private readonly client: LogClient,
@@ -72,7 +72,7 @@
 
   /** Starts reading at offset `from`. */
   start(from: number): void {
-    this.next = from;
+    this.nextOffset = from;
     void this.loop();
   }
 
@@ -82,13 +82,13 @@
   }
 
   /** Ends a pause in which records gather: somebody now waits for one. */
-  hurry(): void {
-    if (this.gathering) this.wake?.();
+  skipPause(): void {
+    if (this.isPausing) this.wake?.();
   }
 
   /** Goes on from another offset; what a read in flight brings is dropped. */
   moveTo(offset: number): void {
-    this.next = offset;
+    this.nextOffset = offset;
   }
 
   private async loop(): Promise<void> {
@@ -97,8 +97,8 @@
       if (await this.readOnce()) {
         backoffMs = FIRST_BACKOFF_MS;
         const isTail =
-          this.lastBrought > 0 && this.lastBrought < this.cfg.maxRecords;
-        if (isTail) await this.gather();
+          this.lastReadCount > 0 && this.lastReadCount < this.cfg.maxRecords;
+        if (isTail) await this.pauseForMore();
         continue;
       }
       await this.sleep(backoffMs);
@@ -107,44 +107,44 @@
   }
 
   /** Lets records gather, unless somebody waits for one. */
-  private async gather(): Promise<void> {
+  private async pauseForMore(): Promise<void> {
     if (this.handler.isAwaited()) return;
-    this.gathering = true;
-    await this.sleep(this.cfg.gatherMs);
-    this.gathering = false;
+    this.isPausing = true;
+    await this.sleep(this.cfg.readPauseMs);
+    this.isPausing = false;
   }
 
   private async readOnce(): Promise<boolean> {
     const {stream, maxRecords, pollWaitMs, timeoutMs} = this.cfg;
-    const from = this.next;
-    this.lastBrought = 0;
+    const from = this.nextOffset;
+    this.lastReadCount = 0;
     const result = await this.client.read(
       stream,
       {from, max: maxRecords, waitMs: pollWaitMs},
       {timeoutMs, signal: this.abort.signal},
     );
-    if (this.abort.signal.aborted || this.next !== from) return true;
+    if (this.abort.signal.aborted || this.nextOffset !== from) return true;
     if (!result.ok) {
-      this.handler.failed(result.error);
+      this.handler.onReadFailed(result.error);
       return false;
     }
-    this.take(result.value);
+    this.handlePage(result.value);
     return true;
   }
 
-  private take(page: LogRead): void {
+  private handlePage(page: LogRead): void {
     if (page.kind === 'expired') {
-      this.next = this.handler.expired(page.oldest);
+      this.nextOffset = this.handler.onExpired(page.oldest);
       return;
     }
-    this.next = page.next;
-    this.lastBrought = page.records.length;
-    const elsewhere = this.handler.read(
+    this.nextOffset = page.next;
+    this.lastReadCount = page.records.length;
+    const requestedOffset = this.handler.onRecords(
       page.records as ReadonlyArray<LoggedRecord<T>>,
       page.records.length < this.cfg.maxRecords,
       page.oldest,
     );
-    this.next = elsewhere ?? this.next;
+    this.nextOffset = requestedOffset ?? this.nextOffset;
   }
 
   private sleep(ms: number): Promise<void> {
--- a/packages/stores/src/log_writer.ts
+++ b/packages/stores/src/log_writer.ts
@@ -40,12 +40,12 @@
 const FIRST_BACKOFF_MS = 50;
 const MAX_BACKOFF_MS = 1000;
 
-interface Pending<T, R> {
+interface PendingRecord<T, R> {
   readonly value: T;
   /** Whether the log answered that it stands. */
-  standing: boolean;
+  isAppended: boolean;
   /** Whether an append with it was ever sent. */
-  sent: boolean;
+  wasSent: boolean;
   readonly resolve: (result: Result<R>) => void;
 }
 
@@ -57,10 +57,10 @@
  * delayed on its way and lands last.
  */
 export class LogWriter<T extends {readonly stamp: Stamp}, R> {
-  private readonly pending = new Map<number, Pending<T, R>>();
+  private readonly pending = new Map<number, PendingRecord<T, R>>();
   private lastSeq = 0;
-  private looping = false;
-  private closed = false;
+  private isLooping = false;
+  private isClosed = false;
   private failures = 0;
   private wake: (() => void) | undefined;
 
@@ -81,16 +81,24 @@
    * back; fails at once, and truly unwritten, when the buffer is full.
    */
   append(body: Unstamped<T>): Promise<Result<R>> {
-    if (this.closed) return Promise.resolve(fail(refuse('the writer is shut')));
+    if (this.isClosed)
+      return Promise.resolve(fail(createRefusal('the writer is shut')));
     if (this.pending.size >= this.cfg.maxPending) {
-      return Promise.resolve(fail(refuse('too many records wait for the log')));
+      return Promise.resolve(
+        fail(createRefusal('too many records wait for the log')),
+      );
     }
     const {vm, incarnation} = this.cfg;
     const seq = ++this.lastSeq;
     const value = {...body, stamp: {vm, incarnation, seq}} as unknown as T;
     return new Promise(resolve => {
-      this.pending.set(seq, {value, standing: false, sent: false, resolve});
-      this.run();
+      this.pending.set(seq, {
+        value,
+        isAppended: false,
+        wasSent: false,
+        resolve,
+      });
+      this.startLoop();
     });
   }
 
@@ -110,9 +118,9 @@
    * this VM read them, or a later one was read, so that they can not count.
    */
   failThrough(seq: number): void {
-    for (const [known, entry] of this.pending) {
-      if (known > seq) return;
-      this.pending.delete(known);
+    for (const [pendingSeq, entry] of this.pending) {
+      if (pendingSeq > seq) return;
+      this.pending.delete(pendingSeq);
       entry.resolve(
         fail(
           createError('log_unavailable', 'the record was not read back', {
@@ -125,11 +133,11 @@
 
   /** Refuses all that waits and sends nothing more. */
   close(): void {
-    this.closed = true;
+    this.isClosed = true;
     for (const [seq, entry] of this.pending) {
       this.pending.delete(seq);
       const detail = 'the writer was shut before the record was read back';
-      const ran = entry.sent ? 'maybe' : 'no';
+      const ran = entry.wasSent ? 'maybe' : 'no';
       entry.resolve(fail(createError('log_unavailable', detail, {ran})));
     }
     this.wake?.();
@@ -141,9 +149,9 @@
     );
   }
 
-  private run(): void {
-    if (this.looping) return;
-    this.looping = true;
+  private startLoop(): void {
+    if (this.isLooping) return;
+    this.isLooping = true;
     void this.loop();
   }
 
@@ -151,30 +159,30 @@
     let backoffMs = 0;
     // Lets the records of one turn of the event loop gather.
     await Promise.resolve();
-    while (!this.closed && this.hasUnsent()) {
-      const waitMs = Math.max(backoffMs, this.budget.waitMs(Date.now()));
+    while (!this.isClosed && this.hasUnsent()) {
+      const waitMs = Math.max(backoffMs, this.budget.getWaitMs(Date.now()));
       if (waitMs > 0) {
         await this.sleep(waitMs);
         backoffMs = 0;
         continue;
       }
-      this.budget.take(Date.now());
+      this.budget.takeToken(Date.now());
       backoffMs = await this.appendBatch(backoffMs);
     }
-    this.looping = false;
+    this.isLooping = false;
   }
 
   /** Sends one append; returns how long to wait before the next. */
   private async appendBatch(lastBackoffMs: number): Promise<number> {
-    const batch = this.takeBatch();
-    for (const entry of batch) entry.sent = true;
+    const batch = this.collectBatch();
+    for (const entry of batch) entry.wasSent = true;
     const result = await this.client.append(
       this.cfg.stream,
       batch.map(entry => entry.value),
       {timeoutMs: this.cfg.appendTimeoutMs},
     );
     if (result.kind === 'appended') {
-      this.takeAnswer(batch, result.first);
+      this.onAppended(batch, result.first);
       this.failures = 0;
       return 0;
     }
@@ -184,9 +192,12 @@
     return Math.max(lastBackoffMs, backoffMs, result.error.retryAfterMs ?? 0);
   }
 
-  private takeAnswer(batch: ReadonlyArray<Pending<T, R>>, first: number): void {
+  private onAppended(
+    batch: ReadonlyArray<PendingRecord<T, R>>,
+    first: number,
+  ): void {
     batch.forEach((entry, i) => {
-      entry.standing = true;
+      entry.isAppended = true;
       if (this.settleByAnswer === undefined) return;
       const {value} = entry;
       this.settle(value.stamp, this.settleByAnswer(value, first + i));
@@ -194,14 +205,15 @@
   }
 
   private hasUnsent(): boolean {
-    for (const entry of this.pending.values()) if (!entry.standing) return true;
+    for (const entry of this.pending.values())
+      if (!entry.isAppended) return true;
     return false;
   }
 
-  private takeBatch(): Array<Pending<T, R>> {
-    const batch: Array<Pending<T, R>> = [];
+  private collectBatch(): Array<PendingRecord<T, R>> {
+    const batch: Array<PendingRecord<T, R>> = [];
     for (const entry of this.pending.values()) {
-      if (entry.standing) continue;
+      if (entry.isAppended) continue;
       batch.push(entry);
       if (batch.length >= this.cfg.maxBatch) break;
     }
@@ -219,6 +231,6 @@
   }
 }
 
-function refuse(detail: string): RadishyokeError {
+function createRefusal(detail: string): RadishyokeError {
   return createError('log_unavailable', detail);
 }
--- a/packages/wire/src/__tests__/engine_stream.spec.ts
+++ b/packages/wire/src/__tests__/engine_stream.spec.ts
@@ -11,18 +11,18 @@
 const SEED = 7;
 const TOKENS = 60;
 /** Short where a case has to run into it. */
-const HASTY_PROGRESS_MS = 150;
-const PATIENT_PROGRESS_MS = 20_000;
+const SHORT_PROGRESS_MS = 150;
+const LONG_PROGRESS_MS = 20_000;
 
 interface FaultCase {
   readonly name: string;
   readonly options?: FakeEngineOptions;
   /** Set once the first tokens have come. */
-  readonly midway?: EngineFault;
+  readonly midStreamFault?: EngineFault;
   /** Set before the request. */
-  readonly before?: EngineFault;
+  readonly initialFault?: EngineFault;
   readonly prompt?: string;
-  readonly isHasty?: boolean;
+  readonly usesShortTimeout?: boolean;
   readonly end: GenerationEnd;
   /** Runs that the engine's own books hold in the end. */
   readonly runs: number;
@@ -41,14 +41,14 @@
   {name: 'calm', end: FINISHED, runs: 1},
   {
     name: 'the answer is lost before its first byte',
-    before: {kind: 'lose_answers', next: 1},
+    initialFault: {kind: 'lose_answers', next: 1},
     end: FINISHED,
     runs: 1,
   },
   {
     name: 'open connections go silent in mid-stream',
-    midway: {kind: 'silent', connections: 'open'},
-    isHasty: true,
+    midStreamFault: {kind: 'silent', connections: 'open'},
+    usesShortTimeout: true,
     end: FINISHED,
     runs: 1,
   },
@@ -56,14 +56,14 @@
     name: 'all connections go silent in mid-stream',
     // So long that it can't end before the fault is set.
     options: {length: {medianTokens: 100_000, sigma: 0}},
-    midway: {kind: 'silent', connections: 'all'},
-    isHasty: true,
+    midStreamFault: {kind: 'silent', connections: 'all'},
+    usesShortTimeout: true,
     end: fail('silent'),
     runs: 1,
   },
   {
     name: 'the process crashes in mid-stream',
-    before: {kind: 'crash_after_tokens', tokens: 20},
+    initialFault: {kind: 'crash_after_tokens', tokens: 20},
     options: {restartAfterMs: 60_000},
     end: fail('crashed'),
     runs: 1,
@@ -83,7 +83,7 @@
   },
   {
     name: 'the engine is out of service',
-    before: {kind: 'outage'},
+    initialFault: {kind: 'outage'},
     end: fail('rejected'),
     runs: 0,
   },
@@ -110,7 +110,7 @@
 for (const c of FAULT_CASES)
   test(`one generation: ${c.name}`, async t => {
     const {engine, agent, origin} = await startEngine(t, c.options);
-    if (c.before) engine.faults.set(c.before);
+    if (c.initialFault) engine.faults.set(c.initialFault);
     let text = '';
     let tokens = 0;
     const stream = new EngineStream(
@@ -118,12 +118,13 @@
       origin,
       createRequest('a', c.prompt),
       chunk => {
-        if (c.midway && tokens === 0) engine.faults.set(c.midway);
+        if (c.midStreamFault && tokens === 0)
+          engine.faults.set(c.midStreamFault);
         text += chunk.text;
         tokens += chunk.tokens;
       },
       {
-        progressMs: c.isHasty ? HASTY_PROGRESS_MS : PATIENT_PROGRESS_MS,
+        progressMs: c.usesShortTimeout ? SHORT_PROGRESS_MS : LONG_PROGRESS_MS,
         maxReattaches: 3,
       },
     );
@@ -140,11 +141,13 @@
 // 3. Each new try takes another idle connection, which is silent as well.
 test('idle connections that went silent do not use up the tries', async t => {
   const {engine, agent, origin} = await startEngine(t);
-  const timeouts = {progressMs: HASTY_PROGRESS_MS, maxReattaches: 3};
+  const timeouts = {progressMs: SHORT_PROGRESS_MS, maxReattaches: 3};
   const create = (id: string, onChunk: () => void = () => {}) =>
     new EngineStream(agent, origin, createRequest(id), onChunk, timeouts);
-  const many = Array.from({length: 6}, (_, i) => create(`many-${i}`).run());
-  await Promise.all(many);
+  const earlierRuns = Array.from({length: 6}, (_, i) =>
+    create(`many-${i}`).run(),
+  );
+  await Promise.all(earlierRuns);
   engine.faults.set({kind: 'silent', connections: 'open'});
   t.deepEqual(await create('a').run(), FINISHED);
 });
--- a/packages/wire/src/__tests__/forward.spec.ts
+++ b/packages/wire/src/__tests__/forward.spec.ts
@@ -10,8 +10,8 @@
 import {Forward, ForwardEnd} from '../forward.js';
 import {RenewingAgent} from '../renewing_agent.js';
 
-const HASTY_PROGRESS_MS = 150;
-const PATIENT_PROGRESS_MS = 20_000;
+const SHORT_PROGRESS_MS = 150;
+const LONG_PROGRESS_MS = 20_000;
 const REQUEST_ID = 'note-1';
 const BODY = Buffer.from('{"note":"señal"}');
 
@@ -20,7 +20,7 @@
   readonly fault?: ServiceFault;
   /** Whether the service's process is gone. */
   readonly isGone?: boolean;
-  readonly isHasty?: boolean;
+  readonly usesShortTimeout?: boolean;
   readonly end: ForwardEnd;
   /** Times that the call ran, by the service's own count. */
   readonly calls: number;
@@ -62,7 +62,7 @@
   {
     name: 'silent connections',
     fault: {kind: 'silent', connections: 'all'},
-    isHasty: true,
+    usesShortTimeout: true,
     end: fail('silent'),
     calls: 0,
   },
@@ -121,7 +121,9 @@
     const service = await startFakeService();
     if (c.fault) service.faults.set(c.fault);
     if (c.isGone) await service.close();
-    const progressMs = c.isHasty ? HASTY_PROGRESS_MS : PATIENT_PROGRESS_MS;
+    const progressMs = c.usesShortTimeout
+      ? SHORT_PROGRESS_MS
+      : LONG_PROGRESS_MS;
     const {call, ends} = await startForwarding(t, service, progressMs);
     const res = await call();
     t.deepEqual(ends, [c.end]);
--- a/packages/wire/src/__tests__/peer_fixture.ts
+++ b/packages/wire/src/__tests__/peer_fixture.ts
@@ -23,71 +23,74 @@
   };
 }
 
-const name = fc.string({minLength: 1, maxLength: 20});
-const count = fc.nat();
-const member = fc
+const nameArb = fc.string({minLength: 1, maxLength: 20});
+const countArb = fc.nat();
+const memberArb = fc
   .record({
-    id: name.map(toVmId),
-    incarnation: count,
+    id: nameArb.map(toVmId),
+    incarnation: countArb,
     state: fc.constantFrom(...MEMBER_STATES),
   })
   .map(createMember);
-const endpoint = name.map(toEndpointId);
-const rumour = fc.oneof(
-  fc.record({kind: fc.constant('member' as const), member}),
+const endpointArb = nameArb.map(toEndpointId);
+const rumourArb = fc.oneof(
+  fc.record({kind: fc.constant('member' as const), member: memberArb}),
   fc.record({
     kind: fc.constant('suspect_request' as const),
-    fingerprint: name,
+    fingerprint: nameArb,
   }),
   fc.record({
     kind: fc.constant('silent_endpoint' as const),
-    endpoint,
-    seenAtMs: count,
+    endpoint: endpointArb,
+    seenAtMs: countArb,
   }),
 );
-const payload = fc.record(
+const payloadArb = fc.record(
   {
-    self: member,
-    rumours: fc.array(rumour, {maxLength: 6}),
+    self: memberArb,
+    rumours: fc.array(rumourArb, {maxLength: 6}),
     load: fc.record({
       full: fc.boolean(),
-      entries: fc.array(fc.record({endpoint, inFlight: count}), {maxLength: 9}),
+      entries: fc.array(
+        fc.record({endpoint: endpointArb, inFlight: countArb}),
+        {maxLength: 9},
+      ),
     }),
-    configNext: count,
+    configNext: countArb,
     wantsMembers: fc.boolean(),
   },
   {requiredKeys: ['rumours', 'configNext', 'wantsMembers']},
 );
-const record = fc.record({
-  offset: count,
-  timeMs: count,
+const recordArb = fc.record({
+  offset: countArb,
+  timeMs: countArb,
   value: fc.record({
     kind: fc.constant('config_published' as const),
     stamp: fc.record({
-      vm: name.map(toVmId),
-      incarnation: name.map(toIncarnationId),
-      seq: count,
+      vm: nameArb.map(toVmId),
+      incarnation: nameArb.map(toIncarnationId),
+      seq: countArb,
     }),
-    team: name.map(toTeamId),
+    team: nameArb.map(toTeamId),
     basedOn: fc.integer({min: -1}),
     author: fc.string(),
     text: fc.string(),
   }),
 });
 
-const snapshot = fc.record({
-  next: count,
-  clock: fc.record({nowMs: count, lastRawMs: count}),
-  writers: fc.array(fc.tuple(name, count, count), {maxLength: 3}),
+const snapshotArb = fc.record({
+  next: countArb,
+  clock: fc.record({nowMs: countArb, lastRawMs: countArb}),
+  writers: fc.array(fc.tuple(nameArb, countArb, countArb), {maxLength: 3}),
   teams: fc.array(
     fc.array(
       fc.record({
-        team: name.map(toTeamId),
-        version: count,
+        team: nameArb.map(toTeamId),
+        version: countArb,
         basedOn: fc.integer({min: -1}),
         author: fc.string(),
         text: fc.string(),
-        publishedAtMs: count,
+        publishedAtMs: countArb,
       }),
       {maxLength: 2},
     ),
@@ -96,31 +99,42 @@
 });
 
 /** Any message that a VM may send. */
-export const anyMessage: fc.Arbitrary<GossipMessage> = fc.oneof(
-  fc.record({kind: fc.constant('ping' as const), seq: count, payload}),
-  fc.record({kind: fc.constant('ack' as const), seq: count, payload}),
+export const messageArb: fc.Arbitrary<GossipMessage> = fc.oneof(
+  fc.record({
+    kind: fc.constant('ping' as const),
+    seq: countArb,
+    payload: payloadArb,
+  }),
+  fc.record({
+    kind: fc.constant('ack' as const),
+    seq: countArb,
+    payload: payloadArb,
+  }),
   fc.record({
     kind: fc.constant('probe_request' as const),
-    target: name.map(toVmId),
-    address: name,
+    target: nameArb.map(toVmId),
+    address: nameArb,
   }),
   fc.record({
     kind: fc.constant('probe_heard' as const),
-    target: name.map(toVmId),
+    target: nameArb.map(toVmId),
   }),
   fc.record({
     kind: fc.constant('members' as const),
-    members: fc.array(member, {maxLength: 5}),
+    members: fc.array(memberArb, {maxLength: 5}),
   }),
-  fc.record({kind: fc.constant('config_request' as const), from: count}),
+  fc.record({kind: fc.constant('config_request' as const), from: countArb}),
   fc.record({
     kind: fc.constant('config_transfer' as const),
     transfer: fc.oneof(
       fc.record({
         kind: fc.constant('records' as const),
-        records: fc.array(record, {maxLength: 4}),
+        records: fc.array(recordArb, {maxLength: 4}),
+      }),
+      fc.record({
+        kind: fc.constant('snapshot' as const),
+        snapshot: snapshotArb,
       }),
-      fc.record({kind: fc.constant('snapshot' as const), snapshot}),
     ),
   }),
 );
--- a/packages/wire/src/__tests__/peer_link.spec.ts
+++ b/packages/wire/src/__tests__/peer_link.spec.ts
@@ -24,15 +24,15 @@
   readonly message = createSignal<GossipMessage>();
   readonly end = createSignal<LinkEnd>();
 
-  opened(_: PeerLink, peer: Member): void {
+  onOpened(_: PeerLink, peer: Member): void {
     this.openedBy.resolve(peer);
   }
 
-  received(_: PeerLink, message: GossipMessage): void {
+  onMessage(_: PeerLink, message: GossipMessage): void {
     this.message.resolve(message);
   }
 
-  ended(_: PeerLink, end: LinkEnd): void {
+  onEnded(_: PeerLink, end: LinkEnd): void {
     this.end.resolve(end);
   }
 }
@@ -140,28 +140,28 @@
 async function createRelay(target: string) {
   const [host, port] = target.split(':');
   const sockets = new Set<Socket>();
-  const silent = new Set<Socket>();
-  const join = (from: Socket, to: Socket) => {
+  const silenced = new Set<Socket>();
+  const pipe = (from: Socket, to: Socket) => {
     sockets.add(from);
     from.on('data', data => {
-      if (!silent.has(from)) to.write(data);
+      if (!silenced.has(from)) to.write(data);
     });
     from.on('error', () => {});
     from.on('close', () => {
-      if (!silent.has(from)) to.destroy();
+      if (!silenced.has(from)) to.destroy();
     });
   };
   const server = createServer(inbound => {
     const outbound = new Socket().connect(Number(port), host);
-    join(inbound, outbound);
-    join(outbound, inbound);
+    pipe(inbound, outbound);
+    pipe(outbound, inbound);
   });
   await new Promise<void>(resolve =>
     server.listen(0, '127.0.0.1', () => resolve()),
   );
   return {
     address: `127.0.0.1:${(server.address() as AddressInfo).port}`,
-    silence: () => sockets.forEach(socket => silent.add(socket)),
+    silence: () => sockets.forEach(socket => silenced.add(socket)),
     close: () => {
       for (const socket of sockets) socket.destroy();
       server.close();
--- a/packages/wire/src/__tests__/peer_message.spec.ts
+++ b/packages/wire/src/__tests__/peer_message.spec.ts
@@ -1,16 +1,16 @@
 import test from 'ava';
 import fc from 'fast-check';
 import {decodePeerMessage, encodePeerMessage} from '../peer_message.js';
-import {anyMessage} from './peer_fixture.js';
+import {messageArb} from './peer_fixture.js';
 
-const RUNS = {seed: 20261202, numRuns: 500};
+const PARAMETERS = {seed: 20261202, numRuns: 500};
 
 test('every message reads back as it was', t => {
-  const property = fc.property(anyMessage, message => {
+  const roundTrip = fc.property(messageArb, message => {
     const decoded = decodePeerMessage(encodePeerMessage(message));
     t.deepEqual(decoded, {ok: true, value: message});
   });
-  fc.assert(property, RUNS);
+  fc.assert(roundTrip, PARAMETERS);
 });
 
 // A peer of another version, or a broken one, sends bytes that are no message.
@@ -21,21 +21,21 @@
     const decoded = decodePeerMessage(Buffer.from(data));
     t.true(decoded.ok || decoded.error.kind === 'bad_request');
   });
-  fc.assert(noise, RUNS);
+  fc.assert(noise, PARAMETERS);
   // Near misses reach further into the decoder than noise does.
   const damaged = fc.property(
-    anyMessage,
+    messageArb,
     fc.nat(),
     fc.nat(255),
     fc.boolean(),
-    (message, at, byte, cut) => {
+    (message, position, byte, isTruncated) => {
       const data = encodePeerMessage(message);
-      data[at % data.length] = byte;
+      data[position % data.length] = byte;
       const decoded = decodePeerMessage(
-        cut ? data.subarray(0, at % data.length) : data,
+        isTruncated ? data.subarray(0, position % data.length) : data,
       );
       t.true(decoded.ok || decoded.error.kind === 'bad_request');
     },
   );
-  fc.assert(damaged, RUNS);
+  fc.assert(damaged, PARAMETERS);
 });
--- a/packages/wire/src/connection_error.ts
+++ b/packages/wire/src/connection_error.ts
@@ -9,22 +9,22 @@
   'UND_ERR_CONNECT_TIMEOUT',
 ]);
 
-const silenceCodes: ReadonlySet<string> = new Set([
+const responseTimeoutCodes: ReadonlySet<string> = new Set([
   'UND_ERR_HEADERS_TIMEOUT',
   'UND_ERR_BODY_TIMEOUT',
 ]);
 
 /** Whether `err` says that no connection was made, so nothing can have run. */
 export function isNotConnected(err: unknown): boolean {
-  return notConnectedCodes.has(readCode(err));
+  return notConnectedCodes.has(getErrorCode(err));
 }
 
 /** Whether `err` says that the peer was silent for longer than its timeout. */
-export function isSilence(err: unknown): boolean {
-  return silenceCodes.has(readCode(err));
+export function isResponseTimeout(err: unknown): boolean {
+  return responseTimeoutCodes.has(getErrorCode(err));
 }
 
-function readCode(err: unknown): string {
+function getErrorCode(err: unknown): string {
   const code = (err as {readonly code?: unknown} | null)?.code;
   return typeof code === 'string' ? code : '';
 }
--- a/packages/wire/src/engine_stream.ts
+++ b/packages/wire/src/engine_stream.ts
@@ -9,7 +9,7 @@
 import type {Dispatcher} from 'undici';
 import {z} from 'zod';
 import type {FailureKind} from '@radishyoke/core/scheduling/failure';
-import {isNotConnected, isSilence} from './connection_error.js';
+import {isNotConnected, isResponseTimeout} from './connection_error.js';
 import {renewConnections} from './renewing_agent.js';
 
 /** What an engine is asked to generate. */
@@ -70,14 +70,14 @@
   | {readonly kind: 'broken' | 'silent' | 'refused' | 'unknown_stream'}
   | {readonly kind: 'status'; readonly status: number};
 
-const endOfStream = '[DONE]';
+const endMarker = '[DONE]';
 
 export class EngineStream {
   private readonly abort = new AbortController();
   private tokens = 0;
   private stopped = false;
   /** Whether the generation was started here rather than attached to. */
-  private isOwn = false;
+  private isStartedHere = false;
 
   /**
    * @param dispatcher Connections to use; its pool makes new ones on demand.
@@ -93,7 +93,7 @@
 
   /** Starts the generation and resolves when it has ended; never rejects. */
   async run(): Promise<GenerationEnd> {
-    this.isOwn = true;
+    this.isStartedHere = true;
     return this.follow(await this.connect('POST', '/v1/completions'));
   }
 
@@ -125,8 +125,10 @@
    * Whether an unknown stream means that the request did not arrive. (An engine
    * that crashed meanwhile breaks its connections instead of falling silent.)
    */
-  private wasNeverSeen(before: ConnectionEnd): boolean {
-    return this.isOwn && this.tokens === 0 && before.kind === 'silent';
+  private wasRequestLost(previousEnd: ConnectionEnd): boolean {
+    return (
+      this.isStartedHere && this.tokens === 0 && previousEnd.kind === 'silent'
+    );
   }
 
   private streamPath(from: number): string {
@@ -134,19 +136,19 @@
     return `/v1/streams/${id}?from=${from}`;
   }
 
-  private async follow(first: ConnectionEnd): Promise<GenerationEnd> {
-    let end = first;
+  private async follow(firstEnd: ConnectionEnd): Promise<GenerationEnd> {
+    let end = firstEnd;
     for (let i = 0; i < this.timeouts.maxReattaches; i++) {
       if (this.stopped) return {kind: 'stopped'};
       if (end.kind !== 'broken' && end.kind !== 'silent') break;
-      const before = end;
+      const previousEnd = end;
       if (end.kind === 'silent') renewConnections(this.dispatcher, this.origin);
       end = await this.connect('GET', this.streamPath(this.tokens));
       // A request that goes into a connection that is silent already never
       // reaches the engine. It shows as a silence from the start, then as an
       // unknown stream. Generating it now can't double anything: the engine
       // refuses a second request with an id that it is generating for.
-      if (end.kind === 'unknown_stream' && this.wasNeverSeen(before)) {
+      if (end.kind === 'unknown_stream' && this.wasRequestLost(previousEnd)) {
         end = await this.connect('POST', '/v1/completions');
         continue;
       }
@@ -154,7 +156,7 @@
       if (end.kind === 'refused') return failWith('crashed');
       if (end.kind === 'unknown_stream') {
         return failWith(
-          before.kind === 'silent' ? 'silent' : 'connection_lost',
+          previousEnd.kind === 'silent' ? 'silent' : 'connection_lost',
         );
       }
     }
@@ -178,7 +180,7 @@
         bodyTimeout: this.timeouts.progressMs,
         signal: this.abort.signal,
       });
-      if (res.statusCode === 200) return await this.read(res.body);
+      if (res.statusCode === 200) return await this.readBody(res.body);
       await res.body.dump();
       if (method === 'GET' && res.statusCode === 404) {
         return {kind: 'unknown_stream'};
@@ -186,7 +188,7 @@
       return {kind: 'status', status: res.statusCode};
     } catch (err) {
       if (isNotConnected(err)) return {kind: 'refused'};
-      return {kind: isSilence(err) ? 'silent' : 'broken'};
+      return {kind: isResponseTimeout(err) ? 'silent' : 'broken'};
     }
   }
 
@@ -203,16 +205,16 @@
     });
   }
 
-  private async read(body: Readable): Promise<ConnectionEnd> {
+  private async readBody(body: Readable): Promise<ConnectionEnd> {
     let finishReason: string | undefined;
-    let done = false;
+    let hasEndMarker = false;
     const parser = createParser({
       onEvent: event => {
-        if (event.data === endOfStream) {
-          done = true;
+        if (event.data === endMarker) {
+          hasEndMarker = true;
           return;
         }
-        finishReason = this.takeChunk(event.data) ?? finishReason;
+        finishReason = this.handleChunk(event.data) ?? finishReason;
       },
     });
     const decoder = new TextDecoder();
@@ -221,11 +223,11 @@
     }
     // Without the closing marker the stream was cut: taking it for whole would
     // show as a truncated rollout.
-    if (!done || finishReason === undefined) return {kind: 'broken'};
+    if (!hasEndMarker || finishReason === undefined) return {kind: 'broken'};
     return {kind: 'finished', finishReason};
   }
 
-  private takeChunk(data: string): string | undefined {
+  private handleChunk(data: string): string | undefined {
     const chunk = chunkSchema.parse(JSON.parse(data));
     const [choice] = chunk.choices;
     if (chunk.tokens > 0) {
--- a/packages/wire/src/forward.ts
+++ b/packages/wire/src/forward.ts
@@ -7,7 +7,7 @@
 import type {Readable} from 'node:stream';
 import type {Dispatcher} from 'undici';
 import type {FailureKind} from '@radishyoke/core/scheduling/failure';
-import {isNotConnected, isSilence} from './connection_error.js';
+import {isNotConnected, isResponseTimeout} from './connection_error.js';
 import {isHopByHop} from './hop_by_hop.js';
 import {renewConnections} from './renewing_agent.js';
 
@@ -58,20 +58,20 @@
     };
     res.once('close', onClose);
     try {
-      const answer = await this.dispatcher.request({
+      const response = await this.dispatcher.request({
         origin: req.origin,
         method: req.method as Dispatcher.HttpMethod,
         path: req.path,
-        headers: selectHeaders(req.headers),
+        headers: selectEndToEndHeaders(req.headers),
         body: req.body,
         headersTimeout: req.progressTimeoutMs,
         bodyTimeout: req.progressTimeoutMs,
         signal: this.abort.signal,
       });
-      return await this.answer(answer);
+      return await this.relayResponse(response);
     } catch (err) {
       if (this.stopped) return {kind: 'stopped'};
-      if (isSilence(err)) renewConnections(this.dispatcher, req.origin);
+      if (isResponseTimeout(err)) renewConnections(this.dispatcher, req.origin);
       const sent = !isNotConnected(err);
       const failure = resolveFailure(err, sent);
       return {kind: 'failed', failure, sent, answered: res.headersSent};
@@ -86,35 +86,37 @@
     this.abort.abort();
   }
 
-  private async answer(answer: Dispatcher.ResponseData): Promise<ForwardEnd> {
+  private async relayResponse(
+    response: Dispatcher.ResponseData,
+  ): Promise<ForwardEnd> {
     const {res, req} = this;
     // An endpoint that takes no more says so before it runs anything; the
     // caller gets another endpoint instead of this answer.
-    if (answer.statusCode === 429 || answer.statusCode === 503) {
-      await answer.body.dump();
+    if (response.statusCode === 429 || response.statusCode === 503) {
+      await response.body.dump();
       return {kind: 'failed', failure: 'rejected', sent: true, answered: false};
     }
     req.onHead?.();
-    res.writeHead(answer.statusCode, {
-      ...selectHeaders(answer.headers),
+    res.writeHead(response.statusCode, {
+      ...selectEndToEndHeaders(response.headers),
       ...req.answerHeaders,
     });
-    for await (const chunk of answer.body) {
+    for await (const chunk of response.body) {
       if (res.write(chunk)) continue;
       await waitForDrain(res);
     }
     res.end();
-    return {kind: 'finished', status: answer.statusCode};
+    return {kind: 'finished', status: response.statusCode};
   }
 }
 
 function resolveFailure(err: unknown, sent: boolean): FailureKind {
   if (!sent) return 'connect_failed';
-  return isSilence(err) ? 'silent' : 'connection_lost';
+  return isResponseTimeout(err) ? 'silent' : 'connection_lost';
 }
 
 /** Copies end-to-end headers. */
-export function selectHeaders(
+export function selectEndToEndHeaders(
   headers: IncomingHttpHeaders,
 ): Record<string, string | string[]> {
   const selected: Record<string, string | string[]> = {};
--- a/packages/wire/src/listen.ts
+++ b/packages/wire/src/listen.ts
@@ -11,15 +11,15 @@
   server: http.Server,
   address: string,
 ): Promise<string> {
-  const at = address.lastIndexOf(':');
+  const lastColon = address.lastIndexOf(':');
   // Node wants IPv6 numbers without the brackets.
-  const host = address.slice(0, at).replace(/^\[|\]$/g, '');
-  const port = Number(address.slice(at + 1));
+  const host = address.slice(0, lastColon).replace(/^\[|\]$/g, '');
+  const port = Number(address.slice(lastColon + 1));
   return new Promise((resolve, reject) => {
     server.once('error', reject);
     server.listen(port, host, () => {
-      const {port: taken} = server.address() as AddressInfo;
-      resolve(`${address.slice(0, at)}:${taken}`);
+      const {port: boundPort} = server.address() as AddressInfo;
+      resolve(`${address.slice(0, lastColon)}:${boundPort}`);
     });
   });
 }
--- a/packages/wire/src/peer_handshake.ts
+++ b/packages/wire/src/peer_handshake.ts
@@ -10,7 +10,12 @@
 import type {Member} from '@radishyoke/core/membership/member';
 import type {Result} from '@radishyoke/shared/result';
 import {z} from 'zod';
-import {decodeBy, memberSchema, packr, toMemberWire} from './peer_message.js';
+import {
+  decodeWithSchema,
+  memberSchema,
+  packr,
+  toMemberWire,
+} from './peer_message.js';
 
 /** Changes when peers of another version could not read the messages. */
 const PROTOCOL_VERSION = 1;
@@ -59,7 +64,7 @@
 }
 
 export function decodeChallenge(data: Buffer): Result<Challenge> {
-  return decodeBy(challengeSchema, data);
+  return decodeWithSchema(challengeSchema, data);
 }
 
 export function encodeProof({nonce, member, proof}: Proof): Buffer {
@@ -67,7 +72,7 @@
 }
 
 export function decodeProof(data: Buffer): Result<Proof> {
-  return decodeBy(proofSchema, data);
+  return decodeWithSchema(proofSchema, data);
 }
 
 /** What `role` sends to show that it knows the key. */
--- a/packages/wire/src/peer_link.ts
+++ b/packages/wire/src/peer_link.ts
@@ -29,7 +29,7 @@
   pingAfterMs: 2000,
   /** Nothing received for so long: the connection counts as silent. */
   silentAfterMs: 4000,
-  watchEveryMs: 500,
+  checkIntervalMs: 500,
   /** A peer that leaves more than this unread is cut off. */
   maxUnsentBytes: 8 * 1024 * 1024,
 } as const;
@@ -53,10 +53,10 @@
 
 /** What the owner of a link is told. */
 export interface PeerLinkHandler {
-  opened(link: PeerLink, peer: Member): void;
-  received(link: PeerLink, message: GossipMessage): void;
+  onOpened(link: PeerLink, peer: Member): void;
+  onMessage(link: PeerLink, message: GossipMessage): void;
   /** Called once, last. */
-  ended(link: PeerLink, end: LinkEnd): void;
+  onEnded(link: PeerLink, end: LinkEnd): void;
 }
 
 export class PeerLink {
@@ -64,11 +64,11 @@
   peer: Member | undefined;
   private readonly nonce = randomBytes(NONCE_BYTES);
   private challenge: Buffer | undefined;
-  private readonly watch: NodeJS.Timeout;
-  private readonly deadline: NodeJS.Timeout;
-  private receivedAtMs = Date.now();
-  private watchedAtMs = Date.now();
-  private done = false;
+  private readonly silenceTimer: NodeJS.Timeout;
+  private readonly handshakeTimer: NodeJS.Timeout;
+  private lastReceivedAtMs = Date.now();
+  private lastCheckedAtMs = Date.now();
+  private hasEnded = false;
 
   constructor(
     private readonly socket: WebSocket,
@@ -78,13 +78,13 @@
   ) {
     socket.binaryType = 'nodebuffer';
     socket.on('message', data => this.receive(data as Buffer));
-    socket.on('pong', () => this.hear());
-    socket.on('ping', () => this.hear());
+    socket.on('pong', () => this.recordActivity());
+    socket.on('ping', () => this.recordActivity());
     socket.on('error', err => this.fail(err));
     socket.on('close', () => this.end('closed'));
-    const {watchEveryMs, handshakeMs} = PEER_LINK_LIMITS;
-    this.watch = setInterval(() => this.look(), watchEveryMs);
-    this.deadline = setTimeout(
+    const {checkIntervalMs, handshakeMs} = PEER_LINK_LIMITS;
+    this.silenceTimer = setInterval(() => this.checkSilence(), checkIntervalMs);
+    this.handshakeTimer = setTimeout(
       () => this.end('handshake_timeout'),
       handshakeMs,
     );
@@ -92,7 +92,7 @@
   }
 
   isOpen(): boolean {
-    return this.peer !== undefined && !this.done;
+    return this.peer !== undefined && !this.hasEnded;
   }
 
   /** Sends, or drops the message when the link is not open. */
@@ -120,15 +120,15 @@
   }
 
   private receive(data: Buffer): void {
-    if (this.done) return;
-    this.hear();
+    if (this.hasEnded) return;
+    this.recordActivity();
     const {counters} = this.options;
     counters.bytesReceived += data.length;
     if (!this.peer) return this.receiveHandshake(data);
     const message = decodePeerMessage(data);
     if (!message.ok) return this.refuse('malformed');
     counters.messagesReceived++;
-    this.handler.received(this, message.value);
+    this.handler.onMessage(this, message.value);
   }
 
   private receiveHandshake(data: Buffer): void {
@@ -140,25 +140,30 @@
     }
     const proof = decodeProof(data);
     if (!proof.ok) return this.refuse('malformed');
-    this.admit(proof.value);
+    this.verifyProof(proof.value);
   }
 
-  private admit(received: Proof): void {
+  private verifyProof(received: Proof): void {
     const nonces =
       this.role === 'server'
         ? this.toNonces(received.nonce, this.nonce)
         : this.toNonces(this.nonce, this.challenge!);
-    const other: PeerRole = this.role === 'server' ? 'client' : 'server';
+    const remoteRole: PeerRole = this.role === 'server' ? 'client' : 'server';
     const {sharedKey, counters} = this.options;
-    const expected = computeProof(sharedKey, other, nonces, received.member);
+    const expected = computeProof(
+      sharedKey,
+      remoteRole,
+      nonces,
+      received.member,
+    );
     if (!isValidProof(expected, received.proof)) {
       return this.refuse('unauthorized');
     }
     if (this.role === 'server') this.writeProof(nonces);
-    clearTimeout(this.deadline);
+    clearTimeout(this.handshakeTimer);
     this.peer = received.member;
     counters.opened++;
-    this.handler.opened(this, received.member);
+    this.handler.onOpened(this, received.member);
   }
 
   private toNonces(client: Buffer, server: Buffer): Nonces {
@@ -178,8 +183,8 @@
     this.socket.send(data);
   }
 
-  private hear(): void {
-    this.receivedAtMs = Date.now();
+  private recordActivity(): void {
+    this.lastReceivedAtMs = Date.now();
   }
 
   /**
@@ -187,14 +192,14 @@
    * when something between them forgot it. It shows as messages that vanish. A
    * live peer answers a ping, so silence after one means the connection.
    */
-  private look(): void {
+  private checkSilence(): void {
     const nowMs = Date.now();
     const limits = PEER_LINK_LIMITS;
-    const gapMs = nowMs - this.watchedAtMs;
-    this.watchedAtMs = nowMs;
+    const gapMs = nowMs - this.lastCheckedAtMs;
+    this.lastCheckedAtMs = nowMs;
     // This VM itself was paused: what came meanwhile is not read yet.
-    if (gapMs > 2 * limits.watchEveryMs) return this.hear();
-    const silentMs = nowMs - this.receivedAtMs;
+    if (gapMs > 2 * limits.checkIntervalMs) return this.recordActivity();
+    const silentMs = nowMs - this.lastReceivedAtMs;
     if (silentMs > limits.silentAfterMs) {
       this.options.counters.silent++;
       return this.end('silent');
@@ -215,12 +220,12 @@
   }
 
   private end(end: LinkEnd): void {
-    if (this.done) return;
-    this.done = true;
-    clearInterval(this.watch);
-    clearTimeout(this.deadline);
+    if (this.hasEnded) return;
+    this.hasEnded = true;
+    clearInterval(this.silenceTimer);
+    clearTimeout(this.handshakeTimer);
     this.socket.terminate();
-    this.handler.ended(this, end);
+    this.handler.onEnded(this, end);
   }
 }
 
--- a/packages/wire/src/peer_message.ts
+++ b/packages/wire/src/peer_message.ts
@@ -55,16 +55,16 @@
 // make all later messages unreadable.
 const packr = new Packr({useRecords: false});
 
-const name = z.string().min(1).max(MAX_NAME_CHARS);
-const count = z.number().int().min(0).max(Number.MAX_SAFE_INTEGER);
+const nameSchema = z.string().min(1).max(MAX_NAME_CHARS);
+const countSchema = z.number().int().min(0).max(Number.MAX_SAFE_INTEGER);
 
 const memberSchema = z
   .tuple([
-    name,
+    nameSchema,
     z.string().max(MAX_NAME_CHARS),
     z.string().max(MAX_NAME_CHARS),
-    name,
-    count,
+    nameSchema,
+    countSchema,
     z
       .number()
       .int()
@@ -94,13 +94,13 @@
     .tuple([z.literal(RUMOUR_CODES.member), memberSchema])
     .transform(([, member]): Rumour => ({kind: 'member', member})),
   z
-    .tuple([z.literal(RUMOUR_CODES.suspect_request), name])
+    .tuple([z.literal(RUMOUR_CODES.suspect_request), nameSchema])
     .transform(([, fingerprint]): Rumour => ({
       kind: 'suspect_request',
       fingerprint,
     })),
   z
-    .tuple([z.literal(RUMOUR_CODES.silent_endpoint), name, count])
+    .tuple([z.literal(RUMOUR_CODES.silent_endpoint), nameSchema, countSchema])
     .transform(([, endpoint, seenAtMs]): Rumour => ({
       kind: 'silent_endpoint',
       endpoint: toEndpointId(endpoint),
@@ -109,7 +109,10 @@
 ]);
 
 const loadSchema = z
-  .tuple([z.boolean(), z.array(z.tuple([name, count])).max(MAX_LOAD_ENTRIES)])
+  .tuple([
+    z.boolean(),
+    z.array(z.tuple([nameSchema, countSchema])).max(MAX_LOAD_ENTRIES),
+  ])
   .transform(([full, entries]): LoadDelta => ({
     full,
     entries: entries.map(([endpoint, inFlight]) => ({
@@ -123,7 +126,7 @@
     memberSchema.nullable(),
     z.array(rumourSchema).max(MAX_RUMOURS),
     loadSchema.nullable(),
-    count,
+    countSchema,
     z.boolean(),
   ])
   .transform(
@@ -137,7 +140,7 @@
   );
 
 const stampSchema = z
-  .strictObject({vm: name, incarnation: name, seq: count})
+  .strictObject({vm: nameSchema, incarnation: nameSchema, seq: countSchema})
   .transform(({vm, incarnation, seq}) => ({
     vm: toVmId(vm),
     incarnation: toIncarnationId(incarnation),
@@ -149,7 +152,7 @@
     .strictObject({
       kind: z.literal('config_published'),
       stamp: stampSchema,
-      team: name,
+      team: nameSchema,
       basedOn: z.number().int().min(-1),
       author: z.string(),
       text: z.string(),
@@ -161,18 +164,18 @@
   z.strictObject({
     kind: z.literal('checkpoint_part'),
     stamp: stampSchema,
-    asOf: count,
-    part: count,
-    parts: count,
-    digest: name,
+    asOf: countSchema,
+    part: countSchema,
+    parts: countSchema,
+    digest: nameSchema,
     text: z.string(),
   }),
 ]);
 
 const versionSchema = z
   .strictObject({
-    team: name,
-    version: count,
+    team: nameSchema,
+    version: countSchema,
     basedOn: z.number().int().min(-1),
     author: z.string(),
     text: z.string(),
@@ -189,7 +192,7 @@
     records: z
       .array(
         z.strictObject({
-          offset: count,
+          offset: countSchema,
           timeMs: z.number(),
           value: configRecordSchema,
         }),
@@ -199,9 +202,9 @@
   z.strictObject({
     kind: z.literal('snapshot'),
     snapshot: z.strictObject({
-      next: count,
+      next: countSchema,
       clock: z.strictObject({nowMs: z.number(), lastRawMs: z.number()}),
-      writers: z.array(z.tuple([z.string(), count, z.number()])),
+      writers: z.array(z.tuple([z.string(), countSchema, z.number()])),
       teams: z.array(z.array(versionSchema)),
     }),
   }),
@@ -209,28 +212,28 @@
 
 const messageSchema = z.union([
   z
-    .tuple([z.literal(MESSAGE_CODES.ping), count, payloadSchema])
+    .tuple([z.literal(MESSAGE_CODES.ping), countSchema, payloadSchema])
     .transform(([, seq, payload]): GossipMessage => ({
       kind: 'ping',
       seq,
       payload,
     })),
   z
-    .tuple([z.literal(MESSAGE_CODES.ack), count, payloadSchema])
+    .tuple([z.literal(MESSAGE_CODES.ack), countSchema, payloadSchema])
     .transform(([, seq, payload]): GossipMessage => ({
       kind: 'ack',
       seq,
       payload,
     })),
   z
-    .tuple([z.literal(MESSAGE_CODES.probe_request), name, name])
+    .tuple([z.literal(MESSAGE_CODES.probe_request), nameSchema, nameSchema])
     .transform(([, target, address]): GossipMessage => ({
       kind: 'probe_request',
       target: toVmId(target),
       address,
     })),
   z
-    .tuple([z.literal(MESSAGE_CODES.probe_heard), name])
+    .tuple([z.literal(MESSAGE_CODES.probe_heard), nameSchema])
     .transform(([, target]): GossipMessage => ({
       kind: 'probe_heard',
       target: toVmId(target),
@@ -242,7 +245,7 @@
     ])
     .transform(([, members]): GossipMessage => ({kind: 'members', members})),
   z
-    .tuple([z.literal(MESSAGE_CODES.config_request), count])
+    .tuple([z.literal(MESSAGE_CODES.config_request), countSchema])
     .transform(([, from]): GossipMessage => ({kind: 'config_request', from})),
   z
     .tuple([z.literal(MESSAGE_CODES.config_transfer), transferSchema])
@@ -254,16 +257,19 @@
 
 /** Encodes one message. */
 export function encodePeerMessage(message: GossipMessage): Buffer {
-  return packr.pack(toWire(message));
+  return packr.pack(toMessageWire(message));
 }
 
 /** Decodes one message; `bad_request` for anything that is none. */
 export function decodePeerMessage(bytes: Buffer): Result<GossipMessage> {
-  return decodeBy(messageSchema, bytes);
+  return decodeWithSchema(messageSchema, bytes);
 }
 
 /** Unpacks and checks bytes that nobody vouches for. */
-export function decodeBy<T>(schema: z.ZodType<T>, bytes: Buffer): Result<T> {
+export function decodeWithSchema<T>(
+  schema: z.ZodType<T>,
+  bytes: Buffer,
+): Result<T> {
   try {
     const parsed = schema.safeParse(packr.unpack(bytes));
     if (parsed.success) return succeed(parsed.data);
@@ -274,7 +280,7 @@
   }
 }
 
-function toWire(message: GossipMessage): readonly unknown[] {
+function toMessageWire(message: GossipMessage): readonly unknown[] {
   const code = MESSAGE_CODES[message.kind];
   switch (message.kind) {
     case 'ping':
--- a/packages/wire/src/peer_server.ts
+++ b/packages/wire/src/peer_server.ts
@@ -23,9 +23,9 @@
       maxPayload: options.maxMessageBytes,
       perMessageDeflate: false,
     });
-    const watched = this.watch(handler);
+    const trackingHandler = this.trackLinks(handler);
     this.sockets.on('connection', socket => {
-      this.links.add(new PeerLink(socket, 'server', options, watched));
+      this.links.add(new PeerLink(socket, 'server', options, trackingHandler));
     });
     this.sockets.on('error', () => {});
   }
@@ -42,13 +42,13 @@
     await new Promise<void>(resolve => this.http.close(() => resolve()));
   }
 
-  private watch(handler: PeerLinkHandler): PeerLinkHandler {
+  private trackLinks(handler: PeerLinkHandler): PeerLinkHandler {
     return {
-      opened: (link, peer) => handler.opened(link, peer),
-      received: (link, message) => handler.received(link, message),
-      ended: (link, end) => {
+      onOpened: (link, peer) => handler.onOpened(link, peer),
+      onMessage: (link, message) => handler.onMessage(link, message),
+      onEnded: (link, end) => {
         this.links.delete(link);
-        handler.ended(link, end);
+        handler.onEnded(link, end);
       },
     };
   }
--- a/packages/wire/src/renewing_agent.ts
+++ b/packages/wire/src/renewing_agent.ts
@@ -18,7 +18,10 @@
     options: Dispatcher.DispatchOptions,
     handler: Dispatcher.DispatchHandler,
   ): boolean {
-    return this.open(String(options.origin)).dispatch(options, handler);
+    return this.getOrCreatePool(String(options.origin)).dispatch(
+      options,
+      handler,
+    );
   }
 
   /**
@@ -35,19 +38,19 @@
     if (!pool) return;
     this.pools.delete(origin);
     this.retired.add(pool);
-    const forget = () => this.retired.delete(pool);
-    pool.close().then(forget, forget);
+    const removeRetired = () => this.retired.delete(pool);
+    pool.close().then(removeRetired, removeRetired);
   }
 
   override async close(): Promise<void> {
-    await Promise.all(this.takeAll().map(pool => pool.close()));
+    await Promise.all(this.removeAllPools().map(pool => pool.close()));
   }
 
   override async destroy(): Promise<void> {
-    await Promise.all(this.takeAll().map(pool => pool.destroy()));
+    await Promise.all(this.removeAllPools().map(pool => pool.destroy()));
   }
 
-  private open(origin: string): Pool {
+  private getOrCreatePool(origin: string): Pool {
     let pool = this.pools.get(origin);
     if (!pool) {
       pool = new Pool(origin, this.options);
@@ -56,7 +59,7 @@
     return pool;
   }
 
-  private takeAll(): readonly Pool[] {
+  private removeAllPools(): readonly Pool[] {
     const all = [...this.pools.values(), ...this.retired];
     this.pools.clear();
     this.retired.clear();
