--- a/packages/client/src/step_progress.ts
+++ b/packages/client/src/step_progress.ts
@@ -1,6 +1,6 @@
 /**
- * What a trainer must keep of a step: how far it has read and what it holds.
- * Kept together with the rollouts themselves it makes each arrive exactly once.
+ * A trainer's progress in a step: the position read and the samples received. Storing
+ * it together with the rollouts makes each rollout arrive exactly once.
  */
 
 import type {RolloutId} from '@radishyoke/shared/ids';
@@ -13,7 +13,7 @@
   readonly settled: readonly RolloutId[];
 }
 
-/** What to do with an event. */
+/** How an event has to be handled. */
 export type EventVerdict = 'take' | 'duplicate' | 'outdated_owner';
 
 type SettlingEvent = Extract<
@@ -32,10 +32,10 @@
     this.fencing = data.fencing;
   }
 
-  /** Takes note of `event` and says whether its content is new. */
+  /** Records `event` and returns whether its content is new. */
   recordEvent(event: SettlingEvent): EventVerdict {
-    // An owner that was paused past its lease may still write to an old
-    // connection; its cursors no longer count and could hide newer ones.
+    // An owner that was paused until its lease expired may still write to an old
+    // connection; its cursors are invalid and could skip newer ones.
     if (event.fencing < this.fencing) return 'outdated_owner';
     this.fencing = event.fencing;
     this.cursor = Math.max(this.cursor, event.cursor);
@@ -45,7 +45,7 @@
     return 'take';
   }
 
-  /** Highest position read. */
+  /** Highest cursor read. */
   get position(): number {
     return this.cursor;
   }
--- a/packages/client/src/trainer_client.ts
+++ b/packages/client/src/trainer_client.ts
@@ -1,6 +1,6 @@
 /**
- * The trainer's side of the caller interface: opens a step, follows it over as
- * many connections as it takes, and acknowledges what it has read.
+ * Trainer client of the caller interface: opens a step, reads its rollouts over as many
+ * connections as necessary, and acknowledges what it has read.
  */
 
 import {setTimeout as sleep} from 'node:timers/promises';
@@ -20,17 +20,23 @@
 import {StepProgress} from './step_progress.js';
 
 export interface TrainerClientOptions {
-  /** `http://ip:port` of the balancer, or of several VMs to take in turn. */
+  /**
+   * `http://ip:port` of the load balancer, or of several VMs; a failed request
+   * switches to the next.
+   */
   readonly origins: readonly string[];
   readonly tenant: TenantId;
-  /** Longest silence on the stream; the service sends a heartbeat a second. */
+  /**
+   * Maximum time without data on the stream; the service sends a heartbeat every
+   * second.
+   */
   readonly silenceMs?: number;
 }
 
 export interface FollowOptions {
   readonly step: StepId;
   readonly req: StepRequest;
-  /** The trainer's weight version at this moment. */
+  /** Returns the trainer's current weight version. */
   readonly readWeightVersion: () => number;
   readonly onRollout: (rollout: Rollout) => void;
   readonly onShortfall?: (id: RolloutId, err: RadishyokeError) => void;
@@ -41,9 +47,9 @@
 export interface StepSummary {
   readonly rollouts: number;
   readonly shortfalls: number;
-  /** Times the stream was connected anew. */
+  /** Number of times the stream was reconnected. */
   readonly reconnects: number;
-  /** Events dropped because their rollout was already here. */
+  /** Events dropped because their sample had already been received. */
   readonly duplicates: number;
 }
 
@@ -51,7 +57,7 @@
 const requestTimeoutMs = 10_000;
 const firstBackoffMs = 50;
 const maxBackoffMs = 1000;
-/** Rollouts read before an acknowledgement is sent at the latest. */
+/** Number of events read after which an acknowledgement is sent immediately. */
 const maxUnacknowledged = 16;
 const acknowledgeAfterMs = 200;
 
@@ -72,8 +78,8 @@
   }
 
   /**
-   * Opens the step, or finds it open. Safe to repeat: the same id and body are
-   * the same step.
+   * Opens the step. Safe to repeat: a request with the same id and body refers to the
+   * same step.
    */
   async openStep(step: StepId, req: StepRequest): Promise<Result<void>> {
     const body = JSON.stringify(req);
@@ -86,7 +92,7 @@
     return res.ok ? succeed(undefined) : res;
   }
 
-  /** Tells the service how far the trainer has read and which weights it has. */
+  /** Reports the trainer's read position and weight version to the service. */
   async acknowledge(
     step: StepId,
     cursor: number,
@@ -98,8 +104,8 @@
   }
 
   /**
-   * Opens the step and follows it to its end, connecting again as often as the
-   * connection or the VM behind it is lost. Every rollout is passed on once.
+   * Opens the step and reads it to its end, reconnecting whenever the connection or the
+   * VM behind it is lost. Passes every rollout to `onRollout` exactly once.
    */
   async runStep(options: FollowOptions): Promise<Result<StepSummary>> {
     const progress = options.progress ?? new StepProgress();
@@ -148,8 +154,9 @@
       for await (const line of readLines(res.value.body)) {
         if (options.signal?.aborted) return 'cut';
         const event = JSON.parse(line) as StepEvent;
-        // The trainer moved on while this was on its way. It is left unread;
-        // the new connection tells the version and the service runs it again.
+        // The trainer's weights advanced while this rollout was in transit. It is not
+        // recorded; the new connection sends the current version, and the service runs
+        // the sample again.
         if (follower.isStale(event)) return 'cut';
         if (follower.handleEvent(event)) return 'complete';
       }
@@ -186,12 +193,14 @@
       return fail(decodeError(text));
     } catch {
       this.originIndex++;
-      return fail(createError('endpoint_unreachable', `${origin} failed`));
+      return fail(
+        createError('endpoint_unreachable', `the request to ${origin} failed`),
+      );
     }
   }
 }
 
-/** Takes the events of one step, over all its connections. */
+/** Handles the events of one step over all its connections. */
 class StepFollower {
   private rollouts = 0;
   private shortfalls = 0;
@@ -205,7 +214,10 @@
     readonly progress: StepProgress,
   ) {}
 
-  /** Whether `event` brings output over the trainer's bound at this moment. */
+  /**
+   * Whether `event` contains a rollout that exceeds the trainer's staleness bound
+   * now.
+   */
   isStale(event: StepEvent): boolean {
     if (event.kind !== 'rollout') return false;
     const {req, readWeightVersion} = this.options;
@@ -216,7 +228,7 @@
     return staleness > req.maxStaleness;
   }
 
-  /** Returns whether the step is complete. */
+  /** Handles one event; returns whether the step is complete. */
   handleEvent(event: StepEvent): boolean {
     switch (event.kind) {
       case 'heartbeat':
@@ -278,9 +290,9 @@
   }
 }
 
-/** Splits a stream into its lines; an unfinished last line is dropped. */
+/** Splits a stream into lines; an incomplete last line is dropped. */
 async function* readLines(body: Readable): AsyncGenerator<string> {
-  // Leaving the loop early destroys the body, which then reports the abort.
+  // Leaving the loop early destroys the body, which then emits an error for the abort.
   body.on('error', () => undefined);
   const decoder = new TextDecoder();
   let remainder = '';
@@ -292,7 +304,7 @@
   }
 }
 
-/** Refusals after which the same call can succeed elsewhere or later. */
+/** Error kinds after which the same call may succeed on another VM or later. */
 const transientKinds: ReadonlySet<ErrorKind> = new Set<ErrorKind>([
   'endpoint_unreachable',
   'draining',
@@ -317,6 +329,6 @@
     };
     return createError(body.error, body.detail);
   } catch {
-    return createError('endpoint_failed', 'an answer that is not JSON');
+    return createError('endpoint_failed', 'the response is not JSON');
   }
 }
--- a/packages/shared/src/__tests__/schema_fuzz.spec.ts
+++ b/packages/shared/src/__tests__/schema_fuzz.spec.ts
@@ -9,7 +9,10 @@
 type Json = fc.JsonValue;
 type Path = readonly string[];
 
-/** A decoder's schema, a body that it takes, and what must hold of all it takes. */
+/**
+ * A schema, a body that it accepts, and a predicate that all its output must
+ * satisfy.
+ */
 interface SchemaCase {
   readonly name: string;
   readonly schema: {
@@ -118,7 +121,7 @@
   },
 ];
 
-/** All places in a body, the whole of it first. */
+/** Lists the paths of all values in a body, starting with the body itself. */
 function listPaths(value: Json, path: Path = []): Path[] {
   if (typeof value !== 'object' || value === null) return [path];
   const children = Object.entries(value as Record<string, Json>);
@@ -128,7 +131,9 @@
   ];
 }
 
-/** A copy of `value` with another value at `path`; undefined removes it. */
+/**
+ * Returns a copy of `value` with the value at `path` replaced; undefined removes it.
+ */
 function replaceAt(
   value: Json,
   path: Path,
@@ -161,7 +166,7 @@
 );
 
 for (const c of CASES) {
-  test(`${c.name} takes nothing that breaks what it promises`, t => {
+  test(`${c.name} accepts no damaged body whose output breaks its invariants`, t => {
     t.true(c.schema.safeParse(c.valid).success);
     const pathArb = fc.constantFrom(...listPaths(c.valid));
     fc.assert(
@@ -175,7 +180,7 @@
     );
   });
 
-  test(`${c.name} refuses what has another shape`, t => {
+  test(`${c.name} accepts no arbitrary body whose output breaks its invariants`, t => {
     fc.assert(
       fc.property(fc.anything(), body => {
         const parsed = c.schema.safeParse(body);
--- a/packages/shared/src/endpoint.ts
+++ b/packages/shared/src/endpoint.ts
@@ -1,32 +1,35 @@
-/** What the VM list and the endpoints' own reports tell of endpoints and VMs. */
+/**
+ * Endpoints and VMs as described by the platform's VM list and the endpoints' load
+ * reports.
+ */
 
 import {z} from 'zod';
 import type {DataCentreId, EndpointId, VmId} from './ids.js';
 
 export type EndpointKind = 'engine' | 'service';
 
-/** An endpoint as the platform's VM list gives it. */
+/** An endpoint's entry in the platform's VM list. */
 export interface EndpointInfo {
   readonly id: EndpointId;
   readonly kind: EndpointKind;
   /** `ip:port`. */
   readonly address: string;
   readonly dataCentre: DataCentreId;
-  /** Name that rules route to. */
+  /** Group name that rules route to. */
   readonly group: string;
-  /** Model served, for engines. */
+  /** Served model; set for engines only. */
   readonly model?: string;
   readonly state: 'live' | 'leaving';
-  /** Whether the engine refuses an order with an old fencing number. */
+  /** Whether the engine rejects weight orders with an outdated fencing number. */
   readonly checksFencing: boolean;
 }
 
-/** One of the service's own VMs as the VM list gives it. */
+/** The entry of one of the service's own VMs in the VM list. */
 export interface VmInfo {
   readonly id: VmId;
   /** `ip:port` of the peer listener. */
   readonly peerAddress: string;
-  /** `ip:port` of the caller listener, to which other VMs forward. */
+  /** `ip:port` of the caller listener, to which other VMs forward requests. */
   readonly callerAddress: string;
   readonly dataCentre: DataCentreId;
   readonly state: 'live' | 'leaving';
@@ -39,7 +42,7 @@
 
 const stateSchema = z.enum(['live', 'leaving']);
 
-/** Decodes the VM list's answer. */
+/** Validates the response of the VM list. */
 export const vmListSchema = z.object({
   vms: z.array(
     z.object({
@@ -64,23 +67,23 @@
   ),
 });
 
-/** An endpoint's own load, as it reports it; the report lags. */
+/** The load that an endpoint reports of itself; always somewhat out of date. */
 export interface LoadReport {
   readonly endpoint: EndpointId;
   readonly running: number;
   readonly waiting: number;
-  /** Prompt tokens of requests that wait or are being prefilled. */
+  /** Prompt tokens of requests that are queued or being prefilled. */
   readonly waitingPromptTokens: number;
-  /** Tokens generated a second over the engine's last second, all requests. */
+  /** Tokens generated for all requests within the engine's last second. */
   readonly tokensPerSecond: number;
-  /** The version the engine now starts requests with; 0 for plain services. */
+  /** Weight version that new requests start with; 0 for plain services. */
   readonly weightVersion: number;
   readonly leaving: boolean;
-  /** Unix ms at the engine when these figures were taken. */
+  /** Unix ms by the engine's clock at which these values were measured. */
   readonly measuredAtMs: number;
 }
 
-/** Decodes an endpoint's answer to `GET /load`. */
+/** Validates an endpoint's response to `GET /load`. */
 export const loadReportSchema = z.object({
   running: z.number().int().min(0),
   waiting: z.number().int().min(0),
--- a/packages/shared/src/error_kind.ts
+++ b/packages/shared/src/error_kind.ts
@@ -1,6 +1,6 @@
 /**
- * The closed list of error kinds and the table from kind to answer. Everything
- * a caller, an operator or a log line is told of a failure comes from here.
+ * The closed list of error kinds, and the table that maps each kind to its HTTP
+ * response. Callers, operators and log lines receive failures only in these terms.
  */
 
 /** Whether a request may have reached an endpoint. */
@@ -39,12 +39,15 @@
   | 'store_unavailable'
   | 'internal';
 
-/** What a caller is told for one kind. */
+/** The response to a caller for one error kind. */
 export interface ErrorAnswer {
   readonly status: number;
-  /** Callers rely on `no` being true: the request was never sent to an endpoint. */
+  /**
+   * Callers rely on `no`: it guarantees that the request was never sent to an
+   * endpoint.
+   */
   readonly ran: Ran;
-  /** Whether sending the same request again later can help. */
+  /** Whether the same request may succeed when it is sent again later. */
   readonly retryable: boolean;
   readonly message: string;
 }
@@ -187,18 +190,19 @@
   internal: createAnswer(500, 'maybe', false, 'an internal error'),
 };
 
-/** A failure as a value. Tagged by `kind`; never thrown across a package. */
+/** A failure as a value, tagged by `kind`; never thrown across package boundaries. */
 export interface RadishyokeError {
   readonly kind: ErrorKind;
-  /** What went wrong in this case, for a person. */
+  /** Human-readable description of this failure. */
   readonly detail: string;
-  /** When to come back, in ms from now, where the service can tell honestly. */
+  /**
+   * Ms after which the caller may retry; set only where the service can estimate it.
+   */
   readonly retryAfterMs?: number;
-  /** Overrides the table where more is known, only ever from `maybe`. */
+  /** Overrides a `maybe` of the table where the exact outcome is known. */
   readonly ran?: Ran;
 }
 
-/** Builds an error value. */
 export function createError(
   kind: ErrorKind,
   detail: string = ERROR_ANSWERS[kind].message,
@@ -207,7 +211,7 @@
   return {kind, detail, ...extra};
 }
 
-/** Whether the request of `err` may have reached an endpoint. */
+/** Returns whether the request that failed with `err` may have reached an endpoint. */
 export function resolveRan(err: RadishyokeError): Ran {
   return err.ran ?? ERROR_ANSWERS[err.kind].ran;
 }
--- a/packages/shared/src/header.ts
+++ b/packages/shared/src/header.ts
@@ -1,22 +1,28 @@
-/** HTTP headers of the caller interface, lower case as Node gives them. */
+/** HTTP headers of the caller interface, in lower case as Node.js reports them. */
 
 export const HEADERS = {
-  /** Who sends this; required. */
+  /** The client account (tenant) that sends the request; required. */
   tenant: 'x-radishyoke-tenant',
-  /** The caller's name for its request; makes a non-idempotent one run at most once. */
+  /**
+   * Request id chosen by the caller; with it a non-idempotent request runs at most
+   * once.
+   */
   requestId: 'x-radishyoke-request-id',
-  /** `true` marks a request non-idempotent, `false` idempotent, whatever its method. */
+  /**
+   * `true` marks a request as non-idempotent, `false` as idempotent, whatever its
+   * method.
+   */
   nonIdempotent: 'x-radishyoke-non-idempotent',
-  /** On answers: whether the request may have run (`no`, `maybe`, `yes`). */
+  /** On responses: whether the request may have run (`no`, `maybe`, `yes`). */
   ran: 'x-radishyoke-ran',
-  /** On refusals: the error kind. */
+  /** On error responses: the error kind. */
   error: 'x-radishyoke-error',
-  /** On answers: the rule that decided. */
+  /** On responses: the rule that was applied. */
   rule: 'x-radishyoke-rule',
-  /** On answers: the configuration version in force. */
+  /** On responses: the configuration version in force. */
   configVersion: 'x-radishyoke-config-version',
-  /** On answers: the endpoint that ran the request. */
+  /** On responses: the endpoint that ran the request. */
   endpoint: 'x-radishyoke-endpoint',
-  /** Between VMs: the VM that forwards a trainer to the owner of its step. */
+  /** Between VMs: the VM that forwards a trainer's request to the owner of its step. */
   forwardedBy: 'x-radishyoke-forwarded-by',
 } as const;
--- a/packages/shared/src/ids.ts
+++ b/packages/shared/src/ids.ts
@@ -1,28 +1,31 @@
 /**
- * Branded identifiers. A brand costs nothing at run time and keeps an endpoint's
- * name from being passed where a VM's is wanted.
+ * Branded identifiers. A brand exists only at compile time and prevents one kind
+ * of id, such as an endpoint's, from being passed where another is expected.
  */
 
 declare const brand: unique symbol;
 
 type Branded<Name extends string> = string & {readonly [brand]: Name};
 
-/** One of the service's own VMs, as named in its settings. */
+/** One of the service's own VMs, under the name given in its settings. */
 export type VmId = Branded<'VmId'>;
-/** One life of a VM's process; a restart gets another. */
+/** One run of a VM's process; each restart gets a new id. */
 export type IncarnationId = Branded<'IncarnationId'>;
-/** A model engine or a plain service. */
+/** A model engine or a plain service that requests are routed to. */
 export type EndpointId = Branded<'EndpointId'>;
 export type DataCentreId = Branded<'DataCentreId'>;
-/** Whoever sends requests and is accounted for them: a trainer or an app. */
+/** A client account: the trainer or app that requests are accounted to. */
 export type TenantId = Branded<'TenantId'>;
-/** A team of operators, which owns tenants and one rule set. */
+/** A team of operators, which owns client accounts and one rule set. */
 export type TeamId = Branded<'TeamId'>;
-/** A step, unique within its tenant. */
+/** A step; unique within its client account. */
 export type StepId = Branded<'StepId'>;
-/** `step/group/sample`, unique within a tenant. All attempts share it. */
+/** `step/group/sample`, unique within a client account and shared by all attempts. */
 export type RolloutId = Branded<'RolloutId'>;
-/** One request as the service sees it: minted here, or by the caller for apps. */
+/**
+ * One request; the service generates the id, or the caller supplies it for app
+ * requests.
+ */
 export type RequestId = Branded<'RequestId'>;
 
 export const toVmId = (value: string) => value as VmId;
@@ -34,7 +37,7 @@
 export const toStepId = (value: string) => value as StepId;
 export const toRequestId = (value: string) => value as RequestId;
 
-/** Names one sample of a step; `group` and `sample` count from 0. */
+/** Returns the id of one sample of a step; `group` and `sample` count from 0. */
 export function toRolloutId(
   step: StepId,
   group: number,
--- a/packages/shared/src/log_event.ts
+++ b/packages/shared/src/log_event.ts
@@ -1,48 +1,51 @@
 /**
- * The closed list of what the gateway writes to its log, with the fields of each
- * line. Whoever reads logs can rely on it: a line has one of these messages.
+ * The closed list of log messages that the gateway writes, with the fields of each.
+ * Tools that read logs can rely on it: every line has one of these messages.
  */
 
-/** Names a request, a batch or an item of a batch. A `fingerprint` beside it names what is asked: repeats share it. */
+/**
+ * Identifies a request, a batch or an item of a batch. A `fingerprint` in the same line
+ * identifies the content, so repetitions of a request share it.
+ */
 type RequestFields = {
   readonly requestId: string | undefined;
 };
 
-/** The rule and configuration that a decision followed. */
+/** The rule and configuration version that a decision was based on. */
 type DecisionFields = {
   readonly rule: string | undefined;
   readonly configVersion: number;
 };
 
-/** An endpoint's entry in the platform's list. */
+/** An endpoint's entry in the platform's list of endpoints. */
 type EndpointFields = {
   readonly endpoint: string;
   readonly service: string;
   readonly address: string;
-  /** Position of the entry in the list's history; the same on every VM. */
+  /** Offset of the entry in the list's history; the same on every VM. */
   readonly offset: number;
 };
 
-/** Entries that one reading of the list brought. */
+/** Several entries that were received by one read of the list. */
 type EndpointListFields = {
   readonly count: number;
-  /** Ids of some of them, separated by commas. */
+  /** Ids of some of the endpoints, separated by commas. */
   readonly endpoints: string;
-  /** Position of the last entry in the list's history. */
+  /** Offset of the last entry in the list's history. */
   readonly offset: number;
 };
 
-/** One generation of an item on an engine. */
+/** One run of an item on an engine. */
 type RunFields = RequestFields & {
   readonly batch: string;
   readonly endpoint: string;
   readonly reason: string;
-  /** Last event that is kept; -1 for none. */
+  /** Last stored event; -1 for none. */
   readonly from: number;
   readonly configVersion: number;
 };
 
-/** One reward call for an item's text. */
+/** One reward call for the text of an item. */
 type RewardFields = RequestFields & {
   readonly batch: string;
   /** Id of the call. */
@@ -56,7 +59,10 @@
   readonly detail: string | undefined;
 };
 
-/** Fields by message. Times are in ms, `tookMs` from the start of what it tells of. */
+/**
+ * Fields by message. Times are in ms; `tookMs` counts from the start of the logged
+ * operation.
+ */
 export interface LogEventFields {
   readonly started: {
     readonly vm: string;
@@ -108,44 +114,44 @@
     readonly fencingToken: number;
     readonly holder: string | undefined;
   };
-  /** What the report of a window says stands in the log. */
+  /** The contents of a window's usage report have been written to the log. */
   readonly 'usage decided': {
     readonly window: number;
     readonly accounts: number;
     readonly requests: number;
     readonly fencingToken: number;
   };
-  /** The platform did not take it for as long as the log keeps it. */
+  /** The platform did not accept the report within the log's retention period. */
   readonly 'usage report given up': {readonly window: number};
   readonly 'usage report': {
     readonly window: number;
     readonly fencingToken: number;
     readonly outcome: string;
   };
-  /** Its connections broke and it was gone right after. */
+  /** The connections to the endpoint broke and it was unreachable right afterwards. */
   readonly 'endpoint crashed': {
     readonly endpoint: string;
     readonly service: string;
-    /** Requests of this VM that it had. */
+    /** Number of this VM's requests that were in flight on it. */
     readonly requests: number;
-    /** Some of them, separated by commas. */
+    /** Fingerprints of some of these requests, separated by commas. */
     readonly fingerprints: string;
   };
-  /** It goes to no endpoint until it may be tried again. */
+  /** The request is quarantined: it is sent to no endpoint until a probe is allowed. */
   readonly 'crashing request held back': {
     readonly fingerprint: string;
-    /** Endpoints that crashed, as far as kept. */
+    /** Number of endpoint crashes that are still recorded for the request. */
     readonly crashes: number;
     readonly retryAfterMs: number;
   };
-  /** A request beside which endpoints crashed ran to its end. */
+  /** A request that was in flight on endpoints when they crashed has completed. */
   readonly 'request cleared': {readonly fingerprint: string};
   readonly 'request held back': RequestFields &
     DecisionFields & {
       readonly fingerprint: string;
-      /** Crashes of endpoints that had it, as far as kept. */
+      /** Number of endpoint crashes that are still recorded for the request. */
       readonly crashes: number;
-      /** Until it may be tried again. */
+      /** Ms until the request may be sent as a probe. */
       readonly retryAfterMs: number;
     };
   readonly 'endpoint joined': EndpointFields;
@@ -153,7 +159,7 @@
   readonly 'endpoint draining': EndpointFields;
   readonly 'endpoint stale': EndpointFields;
   readonly 'endpoint left': EndpointFields;
-  /** Many at once share a line. */
+  /** Used instead of single lines when many endpoints change at once. */
   readonly 'endpoints joined': EndpointListFields;
   readonly 'endpoints reborn': EndpointListFields;
   readonly 'endpoints draining': EndpointListFields;
@@ -163,12 +169,12 @@
     readonly endpoint: string;
     readonly detail: string | undefined;
   };
-  /** How many engines may load weights at once has changed. */
+  /** The limit on engines that load weights at the same time has changed. */
   readonly 'loads at once': {
     readonly service: string;
     readonly engines: number;
     readonly limit: number;
-    /** How long a load is expected to take, ms. */
+    /** Expected duration of one load, in ms. */
     readonly expectedMs: number;
   };
   readonly 'order to an engine': {
@@ -190,7 +196,7 @@
     readonly configVersion: number;
     readonly host: string | undefined;
     readonly path: string | undefined;
-    /** Fingerprint of the key that the caller sent. */
+    /** Fingerprint of the API key that the caller sent. */
     readonly key: string | undefined;
     readonly outcome: string;
   };
@@ -206,7 +212,7 @@
   readonly 'stream attempt ended': RequestFields &
     DecisionFields & {
       readonly endpoint: string;
-      /** Last event that reached the caller; -1 for none. */
+      /** Last event that was sent to the caller; -1 for none. */
       readonly lastEvent: number;
       readonly outcome: string;
       readonly detail: string;
@@ -245,11 +251,11 @@
     readonly outcome: string;
     readonly detail: string;
     readonly tookMs: number;
-    /** Where its connection broke. */
+    /** Set if the call's connection broke. */
     readonly fingerprint: string | undefined;
   };
   readonly 'items are run by another VM': {readonly runs: number};
-  /** A coordinator tries again until it can. */
+  /** The coordinator retries until the batch can be read. */
   readonly 'batch can not be read': {
     readonly batch: string;
     readonly detail: string | undefined;
--- a/packages/shared/src/log_record.ts
+++ b/packages/shared/src/log_record.ts
@@ -1,7 +1,7 @@
 /**
- * Records on the platform's log. Each carries its writer and the writer's own
- * sequence number, so that an append whose answer was lost is found by reading
- * and a copy appended twice counts once.
+ * Records of the platform's log. Each carries its writer and a sequence number of
+ * that writer. If the response to an append is lost, the writer finds the record by
+ * reading, and readers count a record only once even if it was appended twice.
  */
 
 import type {ErrorKind} from './error_kind.js';
@@ -16,23 +16,23 @@
 } from './ids.js';
 import type {StepRequest, TokenSpan} from './rollout.js';
 
-/** The log's streams. Offsets count per stream. */
+/** The log's streams; each has its own offsets. */
 export type StreamName = 'config' | 'state' | 'audit';
 
-/** One record as the log returns it. */
+/** A record as the log returns it. */
 export interface LoggedRecord<T> {
   /** Position in the stream, from 0, assigned by the log. */
   readonly offset: number;
-  /** Unix ms by the log's clock when it took the record. */
+  /** Unix ms by the log's clock at which it accepted the record. */
   readonly timeMs: number;
   readonly value: T;
 }
 
-/** Who wrote a record and as which of its own. */
+/** Identifies a record's writer and its position among that writer's records. */
 export interface Stamp {
   readonly vm: VmId;
   readonly incarnation: IncarnationId;
-  /** Counts from 1 within the incarnation and the stream. */
+  /** Counts from 1 per incarnation and stream. */
   readonly seq: number;
 }
 
@@ -41,14 +41,17 @@
   readonly kind: 'config_published';
   readonly stamp: Stamp;
   readonly team: TeamId;
-  /** Version (offset) of the team's configuration this was based on; -1 for none. */
+  /**
+   * Version (offset) of the team's configuration that this one is based on; -1 for
+   * none.
+   */
   readonly basedOn: number;
   readonly author: string;
   /** The INI text. */
   readonly text: string;
 }
 
-/** A winner of one sample as its owner proposes it. */
+/** The winning attempt of a sample, as proposed by the step's owner. */
 export interface SampleCommit {
   readonly group: number;
   readonly sample: number;
@@ -57,22 +60,25 @@
   readonly spans: readonly TokenSpan[];
   /** SHA-256 of the text, hex; empty for a shortfall. */
   readonly digest: string;
-  /** Set when the sample was given up on and the trainer is told so. */
+  /** Set if the sample was given up; the trainer receives a shortfall event instead. */
   readonly shortfall?: ErrorKind;
 }
 
 /**
- * The winner of one sample, as the fold of the log accepted it. The fold assigns
- * the cursor, so that two owners can not give one position to two samples.
+ * The winning attempt of a sample, as accepted by the fold of the log. The fold
+ * assigns the cursor, so two owners cannot give the same position to two samples.
  */
 export interface CommittedSample extends SampleCommit {
-  /** Position in the trainer's stream, from 1; rises strictly, may have gaps. */
+  /**
+   * Position in the trainer's stream, counted from 1; strictly increasing, may have
+   * gaps.
+   */
   readonly cursor: number;
 }
 
 /**
- * One part of a snapshot of everything the stream's records before `asOf` fold
- * to. A reader whose start was dropped by retention begins with a whole one.
+ * One part of a snapshot of the state folded from all records before `asOf`. A reader
+ * starts from a complete snapshot if retention has dropped the start of the stream.
  */
 export interface CheckpointPart {
   readonly kind: 'checkpoint_part';
@@ -82,21 +88,24 @@
   /** Counts from 0. */
   readonly part: number;
   readonly parts: number;
-  /** SHA-256 of the whole snapshot's text, hex. */
+  /** SHA-256 of the complete snapshot's text, hex. */
   readonly digest: string;
   readonly text: string;
 }
 
-/** What the stream `config` holds. */
+/** A record of the stream `config`. */
 export type ConfigRecord = PublishedConfig | CheckpointPart;
 
-/** What the stream `state` holds. `fencing` is the offset of the owner's claim. */
+/**
+ * A record of the stream `state`. `fencing` is the offset of the owner's lease
+ * claim.
+ */
 export type StateRecord = {readonly stamp: Stamp} & (
   | Omit<CheckpointPart, 'stamp'>
   | {
       /**
-       * Tells all VMs where the writer's audit chain stands, for them to name it
-       * in theirs.
+       * Publishes the latest block of the writer's audit chain, so that the other
+       * VMs can reference it in their chains.
        */
       readonly kind: 'audit_anchored';
       readonly number: number;
@@ -105,7 +114,7 @@
       readonly offset: number;
     }
   | {
-      /** Opens or renews the VM's session; its leases last as long as it. */
+      /** Opens or renews the VM's session; the VM's leases expire together with it. */
       readonly kind: 'session';
       readonly ttlMs: number;
     }
@@ -121,7 +130,7 @@
       readonly configVersion: number;
     }
   | {
-      /** A claim on a lease; void while another live session holds it. */
+      /** Claims a lease; has no effect while another live session holds it. */
       readonly kind: 'lease_claimed';
       /** `step:<tenant>/<step>` or `orders:<model>`. */
       readonly lease: string;
@@ -152,9 +161,9 @@
     }
   | {
       /**
-       * Takes back winners that were committed but never reached the trainer:
-       * their text was lost with their owner, or they became stale. The samples
-       * run again and win at a later cursor.
+       * Revokes committed samples that never reached the trainer, because their
+       * text was lost with their owner or they became stale. The samples run again
+       * and are committed at a later cursor.
        */
       readonly kind: 'samples_voided';
       readonly tenant: TenantId;
@@ -178,22 +187,22 @@
       readonly reason: 'complete' | 'cancelled' | 'timed_out';
     }
   | {
-      /** Taken before a non-idempotent request with a caller's id is sent. */
+      /** Claims a caller's request id before the non-idempotent request is sent. */
       readonly kind: 'request_claimed';
       readonly tenant: TenantId;
       readonly req: RequestId;
     }
   | {
       /**
-       * Gives a claim back: the request was refused before it was sent, so the
-       * caller may send it again under the same id.
+       * Releases a claimed request id: the request was refused before it was sent,
+       * so the caller may send it again under the same id.
        */
       readonly kind: 'request_released';
       readonly tenant: TenantId;
       readonly req: RequestId;
     }
   | {
-      /** A crash while these requests ran on one endpoint. */
+      /** An endpoint crashed while the requests with these fingerprints ran on it. */
       readonly kind: 'crash_seen';
       readonly endpoint: EndpointId;
       readonly fingerprints: readonly string[];
--- a/packages/shared/src/result.ts
+++ b/packages/shared/src/result.ts
@@ -1,4 +1,7 @@
-/** The outcome of something that can fail in a known way. */
+/**
+ * The outcome of an operation whose failures are returned as values instead of
+ * thrown.
+ */
 
 import type {RadishyokeError} from './error_kind.js';
 
--- a/packages/shared/src/rollout.ts
+++ b/packages/shared/src/rollout.ts
@@ -1,10 +1,10 @@
-/** Steps and rollouts as trainers see them, with the schemas that check them. */
+/** Steps and rollouts of the trainer interface, with the schema of the request. */
 
 import {z} from 'zod';
 import type {EndpointId, RolloutId, StepId} from './ids.js';
 import {RadishyokeError} from './error_kind.js';
 
-/** Tokens of one rollout that were made under one weight version, in order. */
+/** Consecutive tokens of a rollout that were generated under one weight version. */
 export interface TokenSpan {
   readonly weightVersion: number;
   readonly tokens: number;
@@ -16,7 +16,7 @@
   readonly step: StepId;
   readonly group: number;
   readonly sample: number;
-  /** Counts from 1; the attempt whose output this is. */
+  /** The attempt that produced this output, counted from 1. */
   readonly attempt: number;
   readonly endpoint: EndpointId;
   readonly text: string;
@@ -34,16 +34,18 @@
 /** The body that opens a step. */
 export interface StepRequest {
   readonly model: string;
-  /** The trainer's present weight version. */
+  /** The trainer's weight version when it opens the step. */
   readonly weightVersion: number;
-  /** Most versions that a rollout may lie behind the trainer's at handover. */
+  /**
+   * Maximum number of versions that a rollout may be behind the trainer on delivery.
+   */
   readonly maxStaleness: number;
-  /** Ms from opening until the trainer no longer wants rollouts. */
+  /** Ms from the opening of the step until the trainer accepts no more rollouts. */
   readonly timeoutMs: number;
   readonly groups: readonly GroupRequest[];
 }
 
-/** Bounds on a step; a body over one is refused as `too_large`. */
+/** Limits of a step; a body that exceeds one is refused as `too_large`. */
 export const STEP_LIMITS = {
   groups: 1024,
   samplesPerGroup: 256,
@@ -74,9 +76,11 @@
 export type StepEvent =
   | {
       readonly kind: 'rollout';
-      /** Position in the step's stream, from 1, without gaps for one owner. */
+      /**
+       * Position in the step's stream, counted from 1; has no gaps within one owner.
+       */
       readonly cursor: number;
-      /** Fencing number of the owner that hands this over. */
+      /** Fencing number of the owner that sends this event. */
       readonly fencing: number;
       readonly rollout: Rollout;
     }
@@ -95,7 +99,10 @@
       readonly shortfalls: number;
     };
 
-/** Most versions by which `spans` lie behind `trainerVersion`; at least 0. */
+/**
+ * Returns how many versions the oldest of `spans` is behind `trainerVersion`; at
+ * least 0.
+ */
 export function measureStaleness(
   spans: readonly TokenSpan[],
   trainerVersion: number,
--- a/packages/stores/src/__tests__/decoder_fuzz.spec.ts
+++ b/packages/stores/src/__tests__/decoder_fuzz.spec.ts
@@ -38,7 +38,7 @@
   body: bodyArb,
 });
 
-test('no answer makes a page with a gap, or an append of another length', t => {
+test('no response is decoded to a page with a gap or an append of another length', t => {
   fc.assert(
     fc.property(answerArb, fc.nat(9), (answer, from) => {
       const read = decodeReadAnswer(answer, from);
@@ -56,7 +56,7 @@
   );
 });
 
-test('no answer makes versions out of order, or a VM without a name', t => {
+test('no response is decoded to unordered versions or a VM without an id', t => {
   fc.assert(
     fc.property(bodyArb, body => {
       const versions = decodeVersions(body);
@@ -83,7 +83,7 @@
   );
 });
 
-/** Bytes that a broken or foreign server may answer with. */
+/** Responses that a faulty server or one of another protocol may send. */
 const BROKEN_ANSWERS: readonly string[] = [
   '',
   'no HTTP at all\r\n\r\n',
@@ -94,9 +94,9 @@
   `HTTP/1.1 200 OK\r\nx: ${'y'.repeat(100_000)}\r\n\r\n`,
 ];
 
-// What answers on the log's address is not the log, or is cut off.
-// Whatever it sends, the client must neither throw nor wait for ever, nor take
-// an append for refused that a log behind it may have taken.
+// The server at the log's address may not be the log, or its response may be cut off.
+// The client must neither throw nor wait forever, nor treat an append as refused that a
+// log behind that server may have accepted.
 for (const bytes of BROKEN_ANSWERS)
   test(`an answer of ${JSON.stringify(bytes.slice(0, 70))} is a failure`, async t => {
     const server = net.createServer(socket => {
--- a/packages/stores/src/__tests__/http_log_client.spec.ts
+++ b/packages/stores/src/__tests__/http_log_client.spec.ts
@@ -19,7 +19,7 @@
   return {client, faults: log.faults, close};
 });
 
-test('an append that found no log at all was refused', async t => {
+test('an append without a connection to the log is refused', async t => {
   const log = await startFakeLog();
   await log.close();
   const client = new HttpLogClient(log.address);
--- a/packages/stores/src/__tests__/log_client_contract.ts
+++ b/packages/stores/src/__tests__/log_client_contract.ts
@@ -1,4 +1,4 @@
-/** What every implementation of `LogClient` must do, faults included. */
+/** Tests that every implementation of `LogClient` must pass, including under faults. */
 
 import type {LogFault} from '@radishyoke/fakes/fake_log';
 import type {FaultPlan} from '@radishyoke/fakes/fault_plan';
@@ -16,7 +16,7 @@
   waitForNextTurn,
 } from './transport_fault_cases.js';
 
-/** A client, and the log behind it. */
+/** A client connected to a fake log. */
 export interface LogHarness {
   readonly client: LogClient;
   readonly faults: FaultPlan<LogFault>;
@@ -28,7 +28,7 @@
   readonly apply: (harness: LogHarness) => void;
   readonly usesShortTimeout?: boolean;
   readonly expected: AppendResult['kind'];
-  /** Records that stand afterwards; undefined where either may be. */
+  /** Number of records stored afterwards; undefined if it may be either. */
   readonly records?: number;
 }
 
@@ -79,7 +79,7 @@
 
 const FIRST_PAGE: LogQuery = {from: 0, max: 1000, waitMs: 0};
 
-/** Registers the contract's tests for one implementation. */
+/** Registers the contract tests for one implementation. */
 export function testLogClient(
   label: string,
   start: () => Promise<LogHarness>,
@@ -97,7 +97,7 @@
       `${label}: append, ${c.name}`,
       withHarness(async (t, harness) => {
         const {client, faults} = harness;
-        // Opens a connection for those faults that need one.
+        // Opens a connection, which some of the faults require.
         await client.read('state', FIRST_PAGE, LONG_TIMEOUT);
         await waitForNextTurn();
         c.apply(harness);
@@ -129,7 +129,7 @@
     );
 
   test(
-    `${label}: a refusal over the limit tells when to come back`,
+    `${label}: a refusal over the limit has a retry delay`,
     withHarness(async (t, {client, faults}) => {
       faults.set({kind: 'append_limit', appendsPerSecond: 0.1});
       const result = await client.append('audit', [1], LONG_TIMEOUT);
@@ -138,7 +138,7 @@
   );
 
   test(
-    `${label}: all or none of an append stand, next to one another`,
+    `${label}: an append is stored completely, at consecutive offsets`,
     withHarness(async (t, {client}) => {
       const writers = Array.from({length: 20}, (_, w) => [`${w}a`, `${w}b`]);
       const results = await Promise.all(
@@ -154,7 +154,7 @@
   );
 
   test(
-    `${label}: pages join without gaps`,
+    `${label}: consecutive pages have no gaps`,
     withHarness(async (t, {client}) => {
       const values = Array.from({length: 10}, (_, n) => ({n}));
       await client.append('config', values, LONG_TIMEOUT);
@@ -183,7 +183,7 @@
   );
 
   test(
-    `${label}: a read below what retention has left tells the oldest offset`,
+    `${label}: a read below the retained offsets returns the oldest offset`,
     withHarness(async (t, {client, faults}) => {
       faults.set({kind: 'retention', retainRecords: 2});
       await client.append('state', ['a', 'b', 'c'], LONG_TIMEOUT);
@@ -196,7 +196,7 @@
   );
 
   test(
-    `${label}: closing breaks a waiting read`,
+    `${label}: closing aborts a waiting read`,
     withHarness(async (t, {client}) => {
       const query = {from: 0, max: 1, waitMs: LONG_TIMEOUT.timeoutMs};
       const read = client.read('state', query, LONG_TIMEOUT);
--- a/packages/stores/src/__tests__/log_writer.spec.ts
+++ b/packages/stores/src/__tests__/log_writer.spec.ts
@@ -21,7 +21,7 @@
 const DELAY_MS = 700;
 const SETTLE_MS = 60_000;
 
-/** A log that does with each append what its list says, then answers well. */
+/** A log whose appends have the scripted outcomes, and succeed after those. */
 class ScriptedClient extends LogClient {
   readonly records: TestRecord[] = [];
   appends = 0;
@@ -67,7 +67,7 @@
   });
 }
 
-/** Settles what stands, in order, as the VM's reader would. */
+/** Periodically settles the stored records in order, as the VM's reader would. */
 function startReadBack(
   writer: LogWriter<TestRecord, number>,
   client: ScriptedClient,
@@ -81,9 +81,9 @@
   }, 30);
 }
 
-// A commit is lost, or counts twice, after answers of the log got lost and
-// appends arrived late, one overtaking the other.
-test.serial('each record stands, in order and once by its number', async t => {
+// Guards against a commit that is lost or counted twice after responses of the log were
+// lost or appends were delayed and overtook one another.
+test.serial('each record is stored once and in sequence order', async t => {
   const outcomeArb = fc.constantFrom<AppendOutcome>(
     'answered',
     'answer_lost',
@@ -132,10 +132,10 @@
   t.deepEqual(details.counterexample, null);
 });
 
-// A VM's memory fills while the log is down, or a caller is told "not run" of
-// what was written after all.
+// Guards against memory growing without limit while the log is down, and against a
+// refusal as "not run" of a record that is written after all.
 test.serial(
-  'a full buffer refuses truly, and appends keep to the budget',
+  'records refused by a full buffer are not written, and appends keep to the budget',
   async t => {
     const clock = FakeTimers.install();
     const client = new ScriptedClient([]);
@@ -148,7 +148,7 @@
     t.true(refused.every(result => !result.ok));
     await clock.tickAsync(1000);
     t.is(client.records.length, 8);
-    t.is(client.appends, 1, 'what waits together goes together');
+    t.is(client.appends, 1, 'pending records are sent in one append');
     for (let i = 0; i < 200; i++) {
       void writer.append({name: i});
       await clock.tickAsync(10);
--- a/packages/stores/src/__tests__/transport_fault_cases.ts
+++ b/packages/stores/src/__tests__/transport_fault_cases.ts
@@ -1,15 +1,15 @@
-/** Faults of a connection, and what a reading call must make of each. */
+/** Connection faults and their expected effect on a read call. */
 
 import type {TransportFault} from '@radishyoke/fakes/fault_plan';
 
 export interface TransportFaultCase {
   readonly name: string;
   readonly fault: TransportFault;
-  /** Whether the call fails by its timeout, which is then set short. */
+  /** Whether the call fails by its timeout; the test then uses a short one. */
   readonly timesOut: boolean;
 }
 
-/** Each makes a call that only reads fail; after it the next call succeeds. */
+/** Each fault makes a read call fail; the next call after it succeeds. */
 export const TRANSPORT_FAULT_CASES: readonly TransportFaultCase[] = [
   {name: 'outage', fault: {kind: 'outage'}, timesOut: false},
   {name: 'broken connections', fault: {kind: 'unreachable'}, timesOut: false},
@@ -23,8 +23,8 @@
     fault: {kind: 'delay', delayMs: 2000},
     timesOut: true,
   },
-  // Open connections go silent while new ones work: only giving the silent one
-  // up lets the call after it succeed.
+  // Open connections go silent while new ones work, so the next call succeeds only if
+  // the client has dropped the silent connection.
   {
     name: 'open connections gone silent',
     fault: {kind: 'silent', connections: 'open'},
@@ -37,12 +37,12 @@
   },
 ];
 
-/** For calls that must succeed however busy the machine is. */
+/** For calls that must succeed even on a busy machine. */
 export const LONG_TIMEOUT = {timeoutMs: 20_000};
-/** For calls that must fail by their timeout. */
+/** For calls that must time out. */
 export const SHORT_TIMEOUT = {timeoutMs: 100};
 
-/** Lets a client take back the connection of a call that has just ended. */
+/** Lets a client return the connection of a finished call to its pool. */
 export function waitForNextTurn(): Promise<void> {
   return new Promise(resolve => setImmediate(resolve));
 }
--- a/packages/stores/src/__tests__/vm_list_client_contract.ts
+++ b/packages/stores/src/__tests__/vm_list_client_contract.ts
@@ -1,4 +1,7 @@
-/** What every implementation of `VmListClient` must do, faults included. */
+/**
+ * Tests that every implementation of `VmListClient` must pass, including under
+ * faults.
+ */
 
 import type {VmListFault} from '@radishyoke/fakes/fake_vm_list';
 import type {FaultPlan} from '@radishyoke/fakes/fault_plan';
@@ -13,7 +16,7 @@
   waitForNextTurn,
 } from './transport_fault_cases.js';
 
-/** A client, and the list behind it. */
+/** A client connected to a fake VM list. */
 export interface VmListHarness {
   readonly client: VmListClient;
   readonly faults: FaultPlan<VmListFault>;
@@ -21,7 +24,7 @@
   close(): Promise<void>;
 }
 
-/** A list with one VM and one engine. */
+/** Creates a list with one VM and one engine. */
 export function createVmList(state: 'live' | 'leaving' = 'live'): VmList {
   const dataCentre = toDataCentreId('kartal');
   return {
@@ -49,7 +52,7 @@
   };
 }
 
-/** Registers the contract's tests for one implementation. */
+/** Registers the contract tests for one implementation. */
 export function testVmListClient(
   label: string,
   start: () => Promise<VmListHarness>,
@@ -73,7 +76,7 @@
       t.true((await client.fetch(LONG_TIMEOUT)).ok);
     });
 
-  test(`${label}: the list may lag`, async t => {
+  test(`${label}: a lagging list is returned as it is`, async t => {
     const {client, faults, update, close} = await start();
     t.teardown(close);
     update(createVmList());
--- a/packages/stores/src/__tests__/weight_store_client_contract.ts
+++ b/packages/stores/src/__tests__/weight_store_client_contract.ts
@@ -1,4 +1,7 @@
-/** What every implementation of `WeightStoreClient` must do, faults included. */
+/**
+ * Tests that every implementation of `WeightStoreClient` must pass, including under
+ * faults.
+ */
 
 import type {WeightStoreFault} from '@radishyoke/fakes/fake_weight_store';
 import type {FaultPlan} from '@radishyoke/fakes/fault_plan';
@@ -11,7 +14,7 @@
   waitForNextTurn,
 } from './transport_fault_cases.js';
 
-/** A client, and the store behind it. */
+/** A client connected to a fake weight store. */
 export interface WeightStoreHarness {
   readonly client: WeightStoreClient;
   readonly faults: FaultPlan<WeightStoreFault>;
@@ -21,7 +24,7 @@
 
 const MODEL = 'tutor/es ?';
 
-/** Registers the contract's tests for one implementation. */
+/** Registers the contract tests for one implementation. */
 export function testWeightStoreClient(
   label: string,
   start: () => Promise<WeightStoreHarness>,
--- a/packages/stores/src/append_budget.ts
+++ b/packages/stores/src/append_budget.ts
@@ -1,15 +1,14 @@
-/** A VM's share of the appends that the platform's log takes. */
+/** A VM's share of the append rate that the platform's log permits. */
 
-/** Appends that may follow one another at once after a pause. */
+/** Appends that may be made without waiting after a pause. */
 const BURST_APPENDS = 4;
 const MS_PER_SECOND = 1000;
 
 /**
- * A token bucket over all streams of one VM. The log refuses appends over a
- * limit that all VMs share; if each took what it liked, a busy VM would starve
- * the session renewals of the others and cost them their leases. Each VM keeps
- * to the deployment's budget divided by the number of live VMs, which it knows
- * without asking anybody.
+ * A token bucket over all streams of one VM. The log refuses appends over a limit that
+ * all VMs share. Without a share per VM, a busy VM could block the session renewals of
+ * the others, which would lose their leases. The share is the deployment's budget
+ * divided by the number of live VMs, which needs no coordination.
  */
 export class AppendBudget {
   private tokens = BURST_APPENDS;
@@ -21,12 +20,12 @@
     this.appendsPerSecond = appendsPerSecond;
   }
 
-  /** Ms from one append to the next when all of the share is used. */
+  /** Ms between appends at the full rate of this share. */
   get intervalMs(): number {
     return MS_PER_SECOND / this.appendsPerSecond;
   }
 
-  /** Ms until an append may be made; 0 for now. */
+  /** Returns the ms until the next append is permitted; 0 if it is permitted now. */
   getWaitMs(nowMs: number): number {
     this.refill(nowMs);
     if (this.tokens >= 1) return 0;
--- a/packages/stores/src/call_options.ts
+++ b/packages/stores/src/call_options.ts
@@ -1,7 +1,7 @@
-/** What every call to the platform is bounded by. */
+/** Timeout and cancellation of a call to a platform service. */
 
 export interface CallOptions {
-  /** The call fails after this long; a wait asked of the other side comes on top. */
+  /** The call fails after this time plus the time that the server is asked to wait. */
   readonly timeoutMs: number;
   /** Aborts the call early. */
   readonly signal?: AbortSignal;
--- a/packages/stores/src/http_json.ts
+++ b/packages/stores/src/http_json.ts
@@ -1,6 +1,6 @@
 /**
- * One JSON call over HTTP as a value: an answer, or a failure that tells whether
- * the call may have reached the other side. Nothing here throws.
+ * JSON calls over HTTP. The result is a response, or a failure that states whether the
+ * call may have reached the server. Nothing here throws.
  */
 
 import {Agent, Dispatcher, errors} from 'undici';
@@ -10,7 +10,7 @@
 const CONNECT_TIMEOUT_MS = 2000;
 const MAX_RETRY_AFTER_S = 3600;
 
-/** Failures before a connection stands, when nothing can have been sent. */
+/** Error codes of connections that were never established, so nothing was sent. */
 const NOT_SENT_CODES: ReadonlySet<string> = new Set([
   'ECONNREFUSED',
   'EHOSTUNREACH',
@@ -24,7 +24,7 @@
   readonly method: 'GET' | 'POST' | 'PUT';
   readonly path: string;
   readonly body?: unknown;
-  /** Time that the other side was asked to wait before it answers. */
+  /** Time that the server is asked to wait before it responds. */
   readonly waitMs?: number;
 }
 
@@ -32,22 +32,22 @@
   | {
       readonly kind: 'answered';
       readonly status: number;
-      /** The decoded body; undefined when it is no JSON. */
+      /** The parsed body; undefined if it is not JSON. */
       readonly body: unknown;
       readonly retryAfterMs?: number;
     }
   | {
       readonly kind: 'failed';
-      /** Whether any byte of the call may have arrived. */
+      /** Whether the server may have received any byte of the call. */
       readonly sent: boolean;
       readonly detail: string;
     };
 
-/** Calls one address. Holds its connections until closed. */
+/** Client for one address; keeps connections open until it is closed. */
 export class JsonHttpClient {
   private readonly origin: string;
   private agent = createAgent();
-  /** Agents that take no new calls and wait for theirs to end. */
+  /** Agents that accept no new calls and close when their current ones have ended. */
   private readonly retired = new Set<Agent>();
 
   /** `address` is `ip:port`. */
@@ -76,16 +76,16 @@
     }
   }
 
-  /** Breaks what is in flight and closes all connections. */
+  /** Aborts calls in flight and closes all connections. */
   async close(): Promise<void> {
     const agents = [this.agent, ...this.retired];
     await Promise.all(agents.map(agent => agent.destroy()));
   }
 
-  // Something between the two ends can lose track of connections: they go silent
-  // for good while new ones work. It shows as calls that time out one after
-  // another, each on the next idle connection. After one timeout no connection
-  // made before it is used again, so that the next call takes a new one.
+  // A device between the two ends can lose its connection state: existing connections
+  // go silent permanently while new ones work. Calls then time out one after another,
+  // each on the next idle connection. After one timeout no older connection is used
+  // again, so the next call opens a new one.
   private retire(agent: Agent): void {
     if (this.agent !== agent) return;
     this.agent = createAgent();
@@ -104,7 +104,7 @@
       path: call.path,
       method: call.method,
       signal,
-      // A call without a body must not be sent again by the library either.
+      // Prevents the library from repeating calls other than GET, even without a body.
       idempotent: call.method === 'GET',
       ...(call.body === undefined
         ? {}
@@ -127,7 +127,7 @@
   return new Agent({
     connect: {timeout: CONNECT_TIMEOUT_MS},
     pipelining: 1,
-    // Timeouts are set per call, over the whole of it.
+    // `call` applies one timeout to the complete call.
     headersTimeout: 0,
     bodyTimeout: 0,
   });
@@ -141,13 +141,13 @@
   for await (const chunk of body) {
     bytes += (chunk as Buffer).length;
     if (bytes > MAX_ANSWER_BYTES)
-      throw new Error(`the answer is over ${MAX_ANSWER_BYTES} bytes`);
+      throw new Error(`the response exceeds ${MAX_ANSWER_BYTES} bytes`);
     chunks.push(chunk as Buffer);
   }
   return Buffer.concat(chunks).toString('utf8');
 }
 
-/** Parses a body; what is no JSON becomes undefined. */
+/** Parses a body; returns undefined if it is not JSON. */
 export function parseJson(text: string): unknown {
   try {
     return JSON.parse(text);
@@ -156,7 +156,7 @@
   }
 }
 
-/** Reads a `retry-after` in seconds, as ms within an hour. */
+/** Converts a `retry-after` header in seconds to ms, at most one hour. */
 export function parseRetryAfter(
   header: string | readonly string[] | undefined,
 ): number | undefined {
--- a/packages/stores/src/http_log_client.ts
+++ b/packages/stores/src/http_log_client.ts
@@ -1,4 +1,4 @@
-/** The log over HTTP, as docs/PROTOCOLS.md has it. */
+/** HTTP client of the platform's log; docs/PROTOCOLS.md describes the protocol. */
 
 import {createError} from '@radishyoke/shared/error_kind';
 import type {LoggedRecord, StreamName} from '@radishyoke/shared/log_record';
@@ -73,7 +73,7 @@
   }
 }
 
-/** Decodes an answer to a read from offset `from`. */
+/** Decodes the response to a read from offset `from`. */
 export function decodeReadAnswer(
   answer: Answered,
   from: number,
@@ -86,15 +86,20 @@
   if (answer.status !== 200) return fail(createStatusError(answer));
   const page = readAnswerSchema.safeParse(answer.body);
   if (!page.success || !isContiguous(page.data.records, from, page.data.next))
-    return fail(createError('log_unavailable', 'the log answered nonsense'));
+    return fail(
+      createError(
+        'log_unavailable',
+        'the log sent an invalid response to a read',
+      ),
+    );
   const {oldest, next} = page.data;
   const records = page.data.records as ReadonlyArray<LoggedRecord<unknown>>;
   return succeed({kind: 'page', oldest, next, records});
 }
 
-// A reader that skips or repeats a record folds another state than its peers,
-// which shows as two owners or a doubled rollout. A page with a hole is refused
-// as a whole, so that what a reader has folded is always a prefix of the stream.
+// A reader that skips or repeats a record folds a different state than its peers, which
+// can cause two owners or a duplicate rollout. A page with a gap is refused completely,
+// so that a reader has always folded a prefix of the stream.
 function isContiguous(
   records: ReadonlyArray<{readonly offset: number}>,
   from: number,
@@ -106,7 +111,7 @@
   );
 }
 
-/** Decodes an answer to an append of `count` records. */
+/** Decodes the response to an append of `count` records. */
 export function decodeAppendAnswer(
   answer: Answered,
   count: number,
@@ -116,12 +121,12 @@
     const body = appendAnswerSchema.safeParse(answer.body);
     if (body.success && body.data.next - body.data.first === count)
       return {kind: 'appended', first: body.data.first, next: body.data.next};
-    const detail = 'the log took the append and answered nonsense';
+    const detail = 'the log accepted the append with an invalid response';
     return {kind: 'unknown', error: createError('log_unavailable', detail)};
   }
   const error = createStatusError(answer);
-  // The log promises of 4xx and 503 that nothing was appended. Any other 5xx
-  // can come from something between, after the log has taken the records.
+  // The log guarantees that nothing was appended after 4xx and 503. Any other 5xx may
+  // come from an intermediary after the log has accepted the records.
   const isRefused = (status >= 400 && status < 500) || status === 503;
   return {kind: isRefused ? 'refused' : 'unknown', error};
 }
--- a/packages/stores/src/http_vm_list_client.ts
+++ b/packages/stores/src/http_vm_list_client.ts
@@ -1,4 +1,4 @@
-/** The VM list over HTTP, as docs/PROTOCOLS.md has it. */
+/** HTTP client of the platform's VM list; docs/PROTOCOLS.md describes the protocol. */
 
 import {VmList, vmListSchema} from '@radishyoke/shared/endpoint';
 import {createError, RadishyokeError} from '@radishyoke/shared/error_kind';
@@ -29,11 +29,11 @@
   }
 }
 
-/** Decodes the VM list's body. */
+/** Decodes the body of a VM list response. */
 export function decodeVmList(body: unknown): Result<VmList> {
   const list = vmListSchema.safeParse(body);
   if (!list.success)
-    return fail(createListError('the VM list answered nonsense'));
+    return fail(createListError('the VM list sent an invalid response'));
   return succeed(list.data as unknown as VmList);
 }
 
--- a/packages/stores/src/http_weight_store_client.ts
+++ b/packages/stores/src/http_weight_store_client.ts
@@ -1,4 +1,4 @@
-/** The weight store over HTTP, as docs/PROTOCOLS.md has it. */
+/** HTTP client of the weight store; docs/PROTOCOLS.md describes the protocol. */
 
 import {createError} from '@radishyoke/shared/error_kind';
 import {fail, Result, succeed} from '@radishyoke/shared/result';
@@ -44,7 +44,7 @@
   }
 }
 
-/** Decodes the store's list of versions. */
+/** Decodes the store's list of versions; refuses one that is not ascending. */
 export function decodeVersions(
   body: unknown,
 ): Result<readonly WeightVersionInfo[]> {
@@ -56,7 +56,10 @@
     );
   if (!list.success || !isAscending)
     return fail(
-      createError('store_unavailable', 'the store answered nonsense'),
+      createError(
+        'store_unavailable',
+        'the weight store sent an invalid response',
+      ),
     );
   return succeed(list.data.versions);
 }
--- a/packages/stores/src/log_client.ts
+++ b/packages/stores/src/log_client.ts
@@ -1,39 +1,42 @@
-/** The platform's log as the service uses it. */
+/** The operations on the platform's log that the service uses. */
 
 import type {RadishyokeError} from '@radishyoke/shared/error_kind';
 import type {LoggedRecord, StreamName} from '@radishyoke/shared/log_record';
 import type {Result} from '@radishyoke/shared/result';
 import type {CallOptions} from './call_options.js';
 
-/** What became of an append. */
+/** The outcome of an append. */
 export type AppendResult =
-  /** All records stand, from offset `first` up to but without `next`. */
+  /** All records are stored, from offset `first` up to but excluding `next`. */
   | {readonly kind: 'appended'; readonly first: number; readonly next: number}
-  /** None of the records stand, nor ever will by this call. */
+  /** No record is stored, nor will one be as a late effect of this call. */
   | {readonly kind: 'refused'; readonly error: RadishyokeError}
-  /** No answer came: the records may stand, now or soon. Only reading tells. */
+  /**
+   * Without a usable response the records may be stored now or later; only reading
+   * shows it.
+   */
   | {readonly kind: 'unknown'; readonly error: RadishyokeError};
 
 export interface LogQuery {
-  /** Offset of the first record wanted. */
+  /** Offset of the first requested record. */
   readonly from: number;
-  /** Most records to return. */
+  /** Maximum number of records to return. */
   readonly max: number;
-  /** How long the log waits for a first record before it answers with none. */
+  /** Time that the log waits for a first record before it returns an empty page. */
   readonly waitMs: number;
 }
 
 export type LogRead =
   | {
       readonly kind: 'page';
-      /** Lowest offset that the stream still holds. */
+      /** Lowest offset that the stream still retains. */
       readonly oldest: number;
       /** `from` of the next read. */
       readonly next: number;
       /** In order and without gaps. */
       readonly records: ReadonlyArray<LoggedRecord<unknown>>;
     }
-  /** Retention has dropped what was asked for; `oldest` is what is left. */
+  /** Retention has dropped the requested offset; `oldest` is the lowest one left. */
   | {readonly kind: 'expired'; readonly oldest: number};
 
 export abstract class LogClient {
@@ -43,13 +46,13 @@
     options: CallOptions,
   ): Promise<Result<LogRead>>;
 
-  /** Appends all of `values` or none, next to one another. */
+  /** Appends all of `values` at consecutive offsets, or none of them. */
   abstract append(
     stream: StreamName,
     values: readonly unknown[],
     options: CallOptions,
   ): Promise<AppendResult>;
 
-  /** Breaks calls in flight and closes all connections. */
+  /** Aborts calls in flight and closes all connections. */
   abstract close(): Promise<void>;
 }
--- a/packages/stores/src/log_reader.ts
+++ b/packages/stores/src/log_reader.ts
@@ -1,50 +1,55 @@
-/** Follows one stream of the log from an offset, through outages. */
+/**
+ * Reads one stream of the log continuously from an offset and retries after
+ * failures.
+ */
 
 import type {RadishyokeError} from '@radishyoke/shared/error_kind';
 import type {LoggedRecord, StreamName} from '@radishyoke/shared/log_record';
 import type {LogClient, LogRead} from './log_client.js';
 
-/** What a reader tells its owner. */
+/** Callbacks to the owner of a reader. */
 export interface LogReaderHandler<T> {
   /**
-   * New records, maybe none, in order and without gaps. `caughtUp` when the log
-   * had no more at that moment; `oldest` is the lowest offset it still holds.
-   * May return another offset to go on from.
+   * Receives new records, possibly none, in order and without gaps. `caughtUp` means
+   * that the log had no further records; `oldest` is the lowest offset that it still
+   * retains. May return another offset to continue from.
    */
   onRecords(
     records: ReadonlyArray<LoggedRecord<T>>,
     caughtUp: boolean,
     oldest: number,
   ): number | undefined;
-  /** Retention dropped the wanted offset; returns the offset to go on from. */
+  /** Retention dropped the requested offset; returns the offset to continue from. */
   onExpired(oldest: number): number;
-  /** A read failed; the reader goes on trying. */
+  /** A read failed; the reader retries by itself. */
   onReadFailed(error: RadishyokeError): void;
-  /** Whether somebody waits for a record to be read back. */
+  /** Whether a caller is waiting for a record to be read back. */
   isAwaited(): boolean;
 }
 
 export interface LogReaderConfig {
   readonly stream: StreamName;
-  /** Most records in one read. */
+  /** Maximum number of records per read. */
   readonly maxRecords: number;
-  /** How long the log may hold a read that has nothing to tell. */
+  /** Maximum time that the log may delay its response until there is a new record. */
   readonly pollWaitMs: number;
-  /** On top of the wait: a connection silent for longer counts as lost. */
+  /**
+   * Added to `pollWaitMs`; a connection that is silent for longer is treated as
+   * lost.
+   */
   readonly timeoutMs: number;
   /**
-   * Pause after a read that brought records, for more to gather. Each answer
-   * costs some hundred bytes of headers; read at once after each append, they
-   * would outweigh the records.
+   * Pause after a read that returned records, so that more accumulate. Each response has
+   * a few hundred bytes of headers, which would outweigh the records if every append was
+   * read separately.
    */
   readonly readPauseMs: number;
 }
 
 /**
- * The wait and the timeout together bound how long a connection that went
- * silent for good can hide a new configuration: 3.5 s, after which the read is
- * made again on another connection. That leaves time within the 6 s in which a
- * change has to be in force.
+ * `pollWaitMs` and `timeoutMs` together limit how long a half-open connection can delay
+ * a new configuration: after 3.5 s the read is repeated on another connection, well
+ * within the 6 s in which a change must be in force.
  */
 export const LOG_READER_DEFAULTS = {
   maxRecords: 1000,
@@ -56,7 +61,7 @@
 const FIRST_BACKOFF_MS = 50;
 const MAX_BACKOFF_MS = 1000;
 
-/** A task that reads until it is stopped. */
+/** Reads until it is stopped. */
 export class LogReader<T> {
   private readonly abort = new AbortController();
   private nextOffset = 0;
@@ -81,12 +86,12 @@
     this.wake?.();
   }
 
-  /** Ends a pause in which records gather: somebody now waits for one. */
+  /** Ends the pause between reads early because a caller now waits for a record. */
   skipPause(): void {
     if (this.isPausing) this.wake?.();
   }
 
-  /** Goes on from another offset; what a read in flight brings is dropped. */
+  /** Continues from another offset; the result of a read in flight is discarded. */
   moveTo(offset: number): void {
     this.nextOffset = offset;
   }
@@ -106,7 +111,7 @@
     }
   }
 
-  /** Lets records gather, unless somebody waits for one. */
+  /** Pauses so that records accumulate, unless a caller is waiting for one. */
   private async pauseForMore(): Promise<void> {
     if (this.handler.isAwaited()) return;
     this.isPausing = true;
--- a/packages/stores/src/log_writer.ts
+++ b/packages/stores/src/log_writer.ts
@@ -1,6 +1,6 @@
 /**
- * Writes one stream of the log for one VM: queues, batches, stamps and appends
- * again until the records are read back.
+ * Writes one stream of the log for one VM: stamps, queues and batches records, and
+ * repeats failed appends until the records are stored.
  */
 
 import {createError, type RadishyokeError} from '@radishyoke/shared/error_kind';
@@ -10,27 +10,27 @@
 import type {AppendBudget} from './append_budget.js';
 import type {LogClient} from './log_client.js';
 
-/** A record's own fields, without the stamp that the writer adds. */
+/** A record without the stamp, which the writer adds. */
 export type Unstamped<T> = T extends unknown ? Omit<T, 'stamp'> : never;
 
 export interface LogWriterConfig {
   readonly stream: StreamName;
   readonly vm: VmId;
   readonly incarnation: IncarnationId;
-  /** Most records that wait; one more is refused. */
+  /** Maximum number of pending records; further ones are refused. */
   readonly maxPending: number;
-  /** Most records in one append. */
+  /** Maximum number of records per append. */
   readonly maxBatch: number;
   readonly appendTimeoutMs: number;
 }
 
 /**
- * Makes the outcome of a record out of the log's answer, for streams that this
- * VM does not read. Without it, records settle when they are read back.
+ * Computes the outcome of a record from the log's response, for streams that this VM
+ * does not read. Without it, records settle when they are read back.
  */
 export type SettleByAnswer<T, R> = (value: T, offset: number) => R;
 
-/** Bounds that do for every stream. */
+/** Limits that suit every stream. */
 export const LOG_WRITER_DEFAULTS = {
   maxPending: 4096,
   maxBatch: 512,
@@ -42,19 +42,18 @@
 
 interface PendingRecord<T, R> {
   readonly value: T;
-  /** Whether the log answered that it stands. */
+  /** Whether the log has confirmed the append. */
   isAppended: boolean;
-  /** Whether an append with it was ever sent. */
+  /** Whether it was sent in at least one append. */
   wasSent: boolean;
   readonly resolve: (result: Result<R>) => void;
 }
 
 /**
- * One append is in flight at a time, and a later record is never sent before
- * the earlier ones are known to stand or are sent along. So, when an append's
- * answer is lost, sending the same records again is harmless: readers take the
- * first copy of each sequence number and drop the others, also one that was
- * delayed on its way and lands last.
+ * Only one append is in flight at a time, and a record is sent only together with or
+ * after all earlier ones that are unconfirmed. Repeating an append whose response was
+ * lost is therefore harmless: readers accept the first copy of each sequence number
+ * and ignore the others, even one that is delayed and arrives last.
  */
 export class LogWriter<T extends {readonly stamp: Stamp}, R> {
   private readonly pending = new Map<number, PendingRecord<T, R>>();
@@ -71,21 +70,22 @@
     private readonly settleByAnswer?: SettleByAnswer<T, R>,
   ) {}
 
-  /** Records neither read back nor refused. */
+  /** Number of records that have no outcome yet. */
   get pendingCount(): number {
     return this.pending.size;
   }
 
   /**
-   * Queues a record. Resolves with what its reader made of it, once it is read
-   * back; fails at once, and truly unwritten, when the buffer is full.
+   * Queues a record and resolves with its outcome when it has settled. Fails
+   * immediately if the buffer is full or the writer is closed; the record is then
+   * guaranteed not to be written.
    */
   append(body: Unstamped<T>): Promise<Result<R>> {
     if (this.isClosed)
-      return Promise.resolve(fail(createRefusal('the writer is shut')));
+      return Promise.resolve(fail(createRefusal('the log writer is closed')));
     if (this.pending.size >= this.cfg.maxPending) {
       return Promise.resolve(
-        fail(createRefusal('too many records wait for the log')),
+        fail(createRefusal('too many records are waiting for the log')),
       );
     }
     const {vm, incarnation} = this.cfg;
@@ -102,7 +102,7 @@
     });
   }
 
-  /** Takes the outcome of a record read back; returns whether it was awaited. */
+  /** Settles the record with `stamp`; returns whether it was pending in this writer. */
   settle(stamp: Stamp, outcome: R): boolean {
     if (!this.isOwn(stamp)) return false;
     const entry = this.pending.get(stamp.seq);
@@ -114,8 +114,8 @@
   }
 
   /**
-   * Fails records up to `seq` that were not read: retention dropped them before
-   * this VM read them, or a later one was read, so that they can not count.
+   * Fails pending records up to `seq`. Either retention dropped them before this VM read
+   * them, or a later record was read, so readers will ignore them.
    */
   failThrough(seq: number): void {
     for (const [pendingSeq, entry] of this.pending) {
@@ -131,12 +131,13 @@
     }
   }
 
-  /** Refuses all that waits and sends nothing more. */
+  /** Fails all pending records and sends nothing more. */
   close(): void {
     this.isClosed = true;
     for (const [seq, entry] of this.pending) {
       this.pending.delete(seq);
-      const detail = 'the writer was shut before the record was read back';
+      const detail =
+        'the log writer was closed before the record was read back';
       const ran = entry.wasSent ? 'maybe' : 'no';
       entry.resolve(fail(createError('log_unavailable', detail, {ran})));
     }
@@ -157,7 +158,7 @@
 
   private async loop(): Promise<void> {
     let backoffMs = 0;
-    // Lets the records of one turn of the event loop gather.
+    // Batches the records that are queued within the same turn of the event loop.
     await Promise.resolve();
     while (!this.isClosed && this.hasUnsent()) {
       const waitMs = Math.max(backoffMs, this.budget.getWaitMs(Date.now()));
@@ -172,7 +173,7 @@
     this.isLooping = false;
   }
 
-  /** Sends one append; returns how long to wait before the next. */
+  /** Sends one append; returns the minimum ms to wait before the next. */
   private async appendBatch(lastBackoffMs: number): Promise<number> {
     const batch = this.collectBatch();
     for (const entry of batch) entry.wasSent = true;
--- a/packages/stores/src/vm_list_client.ts
+++ b/packages/stores/src/vm_list_client.ts
@@ -1,13 +1,13 @@
-/** The platform's list of VMs and endpoints as the service uses it. */
+/** Access to the platform's list of VMs and endpoints. */
 
 import type {VmList} from '@radishyoke/shared/endpoint';
 import type {Result} from '@radishyoke/shared/result';
 import type {CallOptions} from './call_options.js';
 
 export abstract class VmListClient {
-  /** The list as the platform now shows it; it lags the truth. */
+  /** Fetches the current list, which may lag behind the actual state. */
   abstract fetch(options: CallOptions): Promise<Result<VmList>>;
 
-  /** Breaks calls in flight and closes all connections. */
+  /** Aborts calls in flight and closes all connections. */
   abstract close(): Promise<void>;
 }
--- a/packages/stores/src/weight_store_client.ts
+++ b/packages/stores/src/weight_store_client.ts
@@ -1,4 +1,7 @@
-/** The weight store as the service uses it; engines fetch the weights. */
+/**
+ * Lists versions in the weight store; the weights themselves are fetched by the
+ * engines.
+ */
 
 import type {Result} from '@radishyoke/shared/result';
 import type {CallOptions} from './call_options.js';
@@ -10,12 +13,12 @@
 }
 
 export abstract class WeightStoreClient {
-  /** All versions of a model, ascending; none for a model that is unknown. */
+  /** Returns all versions of a model in ascending order; none for an unknown model. */
   abstract listVersions(
     model: string,
     options: CallOptions,
   ): Promise<Result<readonly WeightVersionInfo[]>>;
 
-  /** Breaks calls in flight and closes all connections. */
+  /** Aborts calls in flight and closes all connections. */
   abstract close(): Promise<void>;
 }
--- a/packages/wire/src/__tests__/engine_stream.spec.ts
+++ b/packages/wire/src/__tests__/engine_stream.spec.ts
@@ -10,21 +10,21 @@
 
 const SEED = 7;
 const TOKENS = 60;
-/** Short where a case has to run into it. */
+/** Short for cases in which the timeout must expire. */
 const SHORT_PROGRESS_MS = 150;
 const LONG_PROGRESS_MS = 20_000;
 
 interface FaultCase {
   readonly name: string;
   readonly options?: FakeEngineOptions;
-  /** Set once the first tokens have come. */
+  /** Set when the first tokens have been received. */
   readonly midStreamFault?: EngineFault;
   /** Set before the request. */
   readonly initialFault?: EngineFault;
   readonly prompt?: string;
   readonly usesShortTimeout?: boolean;
   readonly end: GenerationEnd;
-  /** Runs that the engine's own books hold in the end. */
+  /** Runs that the engine has recorded at the end. */
   readonly runs: number;
 }
 
@@ -54,7 +54,7 @@
   },
   {
     name: 'all connections go silent in mid-stream',
-    // So long that it can't end before the fault is set.
+    // Long enough that the generation cannot finish before the fault is set.
     options: {length: {medianTokens: 100_000, sigma: 0}},
     midStreamFault: {kind: 'silent', connections: 'all'},
     usesShortTimeout: true,
@@ -130,15 +130,15 @@
     );
     t.deepEqual(await stream.run(), c.end);
     t.is(engine.listRuns().length, c.runs);
-    // What was handed on is whole up to where it ends, however it came.
+    // The received text has no gaps, whatever connections it arrived on.
     t.is(readTokens(SEED, text)?.tokens, tokens);
     if (c.end.kind === 'finished') t.is(tokens, TOKENS);
   });
 
-// A sample is given up on though its engine is well.
-// 1. Many streams ran at once, and their connections lie idle in the pool.
-// 2. Something between loses track of all of them; the engine goes on.
-// 3. Each new try takes another idle connection, which is silent as well.
+// Guards against a sample being given up although its engine works:
+// 1. Many streams have ended, and their connections are idle in the pool.
+// 2. A device in between loses the state of all of them; the engine keeps running.
+// 3. Each reattachment would use another idle connection, which is silent as well.
 test('idle connections that went silent do not use up the tries', async t => {
   const {engine, agent, origin} = await startEngine(t);
   const timeouts = {progressMs: SHORT_PROGRESS_MS, maxReattaches: 3};
--- a/packages/wire/src/__tests__/forward.spec.ts
+++ b/packages/wire/src/__tests__/forward.spec.ts
@@ -18,11 +18,11 @@
 interface FaultCase {
   readonly name: string;
   readonly fault?: ServiceFault;
-  /** Whether the service's process is gone. */
+  /** Whether the service's process has exited. */
   readonly isGone?: boolean;
   readonly usesShortTimeout?: boolean;
   readonly end: ForwardEnd;
-  /** Times that the call ran, by the service's own count. */
+  /** How often the call ran, as counted by the service. */
   readonly calls: number;
 }
 
@@ -74,7 +74,7 @@
   },
 ];
 
-/** A server that forwards each call to `service` and keeps how it ended. */
+/** Starts a server that forwards each call to `service` and records how it ended. */
 async function startForwarding(
   t: ExecutionContext,
   service: FakeService,
@@ -128,7 +128,7 @@
     const res = await call();
     t.deepEqual(ends, [c.end]);
     t.is(service.countCalls(REQUEST_ID), c.calls);
-    // Whoever is told that nothing was sent may send it again.
+    // `sent: false` permits a retry, so the service must not have run the call.
     t.true(c.end.kind !== 'failed' || c.end.sent || c.calls === 0);
     if (c.name !== 'calm') return;
     t.is(res.headers.get(HEADERS.rule), 'r');
--- a/packages/wire/src/__tests__/peer_fixture.ts
+++ b/packages/wire/src/__tests__/peer_fixture.ts
@@ -1,4 +1,4 @@
-/** Members and messages for tests of the connections between VMs. */
+/** Members and arbitrary messages for tests of the connections between VMs. */
 
 import type {GossipMessage} from '@radishyoke/core/membership/gossip_message';
 import {Member, MEMBER_STATES} from '@radishyoke/core/membership/member';
@@ -98,7 +98,7 @@
   ),
 });
 
-/** Any message that a VM may send. */
+/** Generates any message that a VM may send. */
 export const messageArb: fc.Arbitrary<GossipMessage> = fc.oneof(
   fc.record({
     kind: fc.constant('ping' as const),
--- a/packages/wire/src/__tests__/peer_link.spec.ts
+++ b/packages/wire/src/__tests__/peer_link.spec.ts
@@ -18,7 +18,7 @@
 
 const MESSAGE: GossipMessage = {kind: 'config_request', from: 7};
 
-/** A handler whose calls can be awaited. */
+/** A handler that resolves a promise on the first call of each callback. */
 class Recorder implements PeerLinkHandler {
   readonly openedBy = createSignal<Member>();
   readonly message = createSignal<GossipMessage>();
@@ -113,10 +113,9 @@
   });
 }
 
-// A VM that is up but can not be heard keeps looking alive.
-// 1. A link is open. 2. Something between the ends forgets the connection:
-//    bytes vanish both ways, neither end sees an error. 3. A new one works.
-// Cause: TCP reports nothing while nobody notices that nothing arrives.
+// Guards against a peer that appears connected although no data arrives: a device in
+// between drops the connection's state, so bytes are lost in both directions and TCP
+// reports no error at either end, while a new connection would work.
 test('a connection that went silent ends within seconds', async t => {
   const {server, address, recorder} = await createServerFixture();
   const relay = await createRelay(address);
@@ -136,7 +135,7 @@
   await server.close();
 });
 
-/** Forwards bytes until told to swallow those of the connections then open. */
+/** A TCP relay; `silence` makes it drop all further bytes of the open connections. */
 async function createRelay(target: string) {
   const [host, port] = target.split(':');
   const sockets = new Set<Socket>();
--- a/packages/wire/src/__tests__/peer_message.spec.ts
+++ b/packages/wire/src/__tests__/peer_message.spec.ts
@@ -5,7 +5,7 @@
 
 const PARAMETERS = {seed: 20261202, numRuns: 500};
 
-test('every message reads back as it was', t => {
+test('every message is equal after encoding and decoding', t => {
   const roundTrip = fc.property(messageArb, message => {
     const decoded = decodePeerMessage(encodePeerMessage(message));
     t.deepEqual(decoded, {ok: true, value: message});
@@ -13,16 +13,16 @@
   fc.assert(roundTrip, PARAMETERS);
 });
 
-// A peer of another version, or a broken one, sends bytes that are no message.
-// A decoder that throws takes the VM down with all its callers.
-test('bytes that are no message are refused, never thrown on', t => {
+// A faulty peer or one of another version may send invalid bytes. An exception of the
+// decoder would terminate the VM and fail all its callers.
+test('invalid bytes are refused without an exception', t => {
   const bytes = fc.uint8Array({maxLength: 300});
   const noise = fc.property(bytes, data => {
     const decoded = decodePeerMessage(Buffer.from(data));
     t.true(decoded.ok || decoded.error.kind === 'bad_request');
   });
   fc.assert(noise, PARAMETERS);
-  // Near misses reach further into the decoder than noise does.
+  // Slightly damaged messages get further into the decoder than random bytes do.
   const damaged = fc.property(
     messageArb,
     fc.nat(),
--- a/packages/wire/src/connection_error.ts
+++ b/packages/wire/src/connection_error.ts
@@ -1,6 +1,9 @@
-/** Reads from a client's exception whether the request can have been received. */
+/**
+ * Classifies exceptions of the HTTP client by whether the endpoint may have received
+ * the request.
+ */
 
-/** Error codes of a connection that was never made: nothing was sent. */
+/** Error codes of connections that were never established, so nothing was sent. */
 const notConnectedCodes: ReadonlySet<string> = new Set([
   'ECONNREFUSED',
   'EHOSTUNREACH',
@@ -14,12 +17,12 @@
   'UND_ERR_BODY_TIMEOUT',
 ]);
 
-/** Whether `err` says that no connection was made, so nothing can have run. */
+/** Whether no connection was established, so the request cannot have run. */
 export function isNotConnected(err: unknown): boolean {
   return notConnectedCodes.has(getErrorCode(err));
 }
 
-/** Whether `err` says that the peer was silent for longer than its timeout. */
+/** Whether no data arrived within the headers or body timeout. */
 export function isResponseTimeout(err: unknown): boolean {
   return responseTimeoutCodes.has(getErrorCode(err));
 }
--- a/packages/wire/src/engine_stream.ts
+++ b/packages/wire/src/engine_stream.ts
@@ -1,7 +1,7 @@
 /**
- * One generation on a model engine, as a stream of chunks. A connection that
- * breaks or falls silent is replaced by a new one that goes on from the last
- * token received, so that a half-open connection costs no generated token.
+ * One generation on a model engine, received as a stream of chunks. A connection
+ * that breaks or goes silent is replaced by a new one that resumes after the last
+ * received token, so a half-open connection loses no generated tokens.
  */
 
 import type {Readable} from 'node:stream';
@@ -12,18 +12,18 @@
 import {isNotConnected, isResponseTimeout} from './connection_error.js';
 import {renewConnections} from './renewing_agent.js';
 
-/** What an engine is asked to generate. */
+/** Parameters of a generation. */
 export interface GenerationRequest {
   readonly requestId: string;
   readonly model: string;
   readonly prompt: string;
   readonly maxTokens: number;
   readonly seed: number;
-  /** Output of an earlier attempt to go on from. */
+  /** Output of an earlier attempt that the generation continues. */
   readonly resume?: {readonly text: string; readonly tokens: number};
 }
 
-/** Tokens that arrived together. */
+/** Tokens that were received together. */
 export interface GenerationChunk {
   readonly text: string;
   readonly tokens: number;
@@ -40,9 +40,9 @@
   | {readonly kind: 'stopped'};
 
 export interface GenerationTimeouts {
-  /** Longest silence before the connection is replaced, ms. */
+  /** Maximum time without data before the connection is replaced, ms. */
   readonly progressMs: number;
-  /** Most times one generation is attached to by a new connection. */
+  /** Maximum number of new connections that attach to one generation. */
   readonly maxReattaches: number;
 }
 
@@ -64,7 +64,7 @@
   weight_version: z.number().int().min(0),
 });
 
-/** How one connection ended; `broken` and `silent` may be attached to again. */
+/** How one connection ended; after `broken` and `silent` a new one may attach. */
 type ConnectionEnd =
   | {readonly kind: 'finished'; readonly finishReason: string}
   | {readonly kind: 'broken' | 'silent' | 'refused' | 'unknown_stream'}
@@ -76,11 +76,11 @@
   private readonly abort = new AbortController();
   private tokens = 0;
   private stopped = false;
-  /** Whether the generation was started here rather than attached to. */
+  /** Whether this instance started the generation rather than attached to it. */
   private isStartedHere = false;
 
   /**
-   * @param dispatcher Connections to use; its pool makes new ones on demand.
+   * @param dispatcher Connection pool; opens new connections on demand.
    * @param origin `http://ip:port` of the engine.
    */
   constructor(
@@ -97,23 +97,29 @@
     return this.follow(await this.connect('POST', '/v1/completions'));
   }
 
-  /** Attaches to a generation that an earlier owner started, from its first token. */
+  /**
+   * Attaches to a generation that an earlier owner started, and reads it from its
+   * first token.
+   */
   async attach(): Promise<GenerationEnd> {
     return this.follow(await this.connect('GET', this.streamPath(0)));
   }
 
-  /** Stops reading; the engine goes on for whoever attaches next. */
+  /**
+   * Stops reading; the engine continues the generation for the next reader that
+   * attaches.
+   */
   detach(): void {
     this.stopped = true;
     this.abort.abort();
   }
 
-  /** Cancels the generation at the engine as well. */
+  /** Stops reading and cancels the generation on the engine. */
   stop(): void {
     if (this.stopped) return;
     this.detach();
     const path = `/v1/streams/${encodeURIComponent(this.req.requestId)}`;
-    // The engine forgets an unread stream by itself, so a lost cancel costs
+    // The engine drops streams that nobody reads, so a lost cancellation wastes
     // only the tokens generated until then.
     this.dispatcher
       .request({origin: this.origin, method: 'DELETE', path})
@@ -122,8 +128,8 @@
   }
 
   /**
-   * Whether an unknown stream means that the request did not arrive. (An engine
-   * that crashed meanwhile breaks its connections instead of falling silent.)
+   * Whether an unknown stream means that the engine never received the request.
+   * An engine that crashed would have broken the connection instead of going silent.
    */
   private wasRequestLost(previousEnd: ConnectionEnd): boolean {
     return (
@@ -144,15 +150,16 @@
       const previousEnd = end;
       if (end.kind === 'silent') renewConnections(this.dispatcher, this.origin);
       end = await this.connect('GET', this.streamPath(this.tokens));
-      // A request that goes into a connection that is silent already never
-      // reaches the engine. It shows as a silence from the start, then as an
-      // unknown stream. Generating it now can't double anything: the engine
-      // refuses a second request with an id that it is generating for.
+      // A request sent on a connection that is already half-open never reaches
+      // the engine: no data arrives, then the stream is unknown. Sending it again
+      // cannot generate it twice, as the engine refuses a second request with the
+      // id of a running generation.
       if (end.kind === 'unknown_stream' && this.wasRequestLost(previousEnd)) {
         end = await this.connect('POST', '/v1/completions');
         continue;
       }
-      // A connection refused right after one broke: the process is gone.
+      // A refused connection right after a broken one means that the process has
+      // exited.
       if (end.kind === 'refused') return failWith('crashed');
       if (end.kind === 'unknown_stream') {
         return failWith(
@@ -221,8 +228,8 @@
     for await (const chunk of body) {
       parser.feed(decoder.decode(chunk as Buffer, {stream: true}));
     }
-    // Without the closing marker the stream was cut: taking it for whole would
-    // show as a truncated rollout.
+    // A stream without the end marker was cut off; treating it as complete would
+    // produce a truncated rollout.
     if (!hasEndMarker || finishReason === undefined) return {kind: 'broken'};
     return {kind: 'finished', finishReason};
   }
--- a/packages/wire/src/error_answer.ts
+++ b/packages/wire/src/error_answer.ts
@@ -1,4 +1,4 @@
-/** Writes error values as HTTP answers, by the table of error kinds. */
+/** Writes error values as HTTP responses according to the table of error kinds. */
 
 import type {ServerResponse} from 'node:http';
 import {
@@ -10,7 +10,7 @@
 
 const msPerSecond = 1000;
 
-/** Body of every refusal. */
+/** Body of every error response. */
 export interface ErrorBody {
   readonly error: string;
   readonly detail: string;
@@ -32,8 +32,9 @@
 }
 
 /**
- * Answers `res` with `err`. Once the head of another answer is out, the
- * connection is broken instead: a caller must not take half an answer for whole.
+ * Responds with `err`. If the headers of another response have already been sent, the
+ * connection is destroyed, so that the caller cannot mistake a partial response for a
+ * complete one.
  */
 export function sendError(
   res: ServerResponse,
@@ -56,7 +57,7 @@
   });
 }
 
-/** Answers with `value` as JSON. */
+/** Responds with `value` as JSON. */
 export function sendJson(
   res: ServerResponse,
   status: number,
--- a/packages/wire/src/forward.ts
+++ b/packages/wire/src/forward.ts
@@ -1,6 +1,6 @@
 /**
- * Sends one caller's request on to an endpoint and its answer back, both
- * streamed. Method, path, headers and body are kept, hop-by-hop headers aside.
+ * Forwards a caller's request to an endpoint and streams the response back. Method,
+ * path, body and headers are preserved, except for hop-by-hop headers.
  */
 
 import type {IncomingHttpHeaders, ServerResponse} from 'node:http';
@@ -16,13 +16,13 @@
   readonly method: string;
   readonly path: string;
   readonly headers: IncomingHttpHeaders;
-  /** The whole body where it was short, else the caller's own stream. */
+  /** The complete body if it was short, otherwise the caller's request stream. */
   readonly body: Buffer | Readable | null;
-  /** Added to the answer's headers. */
+  /** Added to the headers of the response. */
   readonly answerHeaders: Readonly<Record<string, string>>;
-  /** Longest wait for the answer's head and between its parts, ms. */
+  /** Maximum wait for the response headers and between body chunks, ms. */
   readonly progressTimeoutMs: number;
-  /** Called when the head of the answer goes to the caller. */
+  /** Called just before the response headers are sent to the caller. */
   readonly onHead?: () => void;
 }
 
@@ -32,15 +32,18 @@
   | {
       readonly kind: 'failed';
       readonly failure: FailureKind;
-      /** Whether the endpoint can have received the request. */
+      /** Whether the endpoint may have received the request. */
       readonly sent: boolean;
-      /** Whether the answer's head has gone to the caller: no retry is possible. */
+      /**
+       * Whether response headers were sent to the caller, so that no retry is
+       * possible.
+       */
       readonly answered: boolean;
     }
-  /** The caller went away. */
+  /** The caller disconnected, or `stop` was called. */
   | {readonly kind: 'stopped'};
 
-/** One forwarded request; `run` resolves at its end and never rejects. */
+/** One forwarded request; `run` resolves when it has ended and never rejects. */
 export class Forward {
   private readonly abort = new AbortController();
   private stopped = false;
@@ -80,7 +83,7 @@
     }
   }
 
-  /** Breaks the connection to the endpoint off. */
+  /** Aborts the request to the endpoint. */
   stop(): void {
     this.stopped = true;
     this.abort.abort();
@@ -90,8 +93,8 @@
     response: Dispatcher.ResponseData,
   ): Promise<ForwardEnd> {
     const {res, req} = this;
-    // An endpoint that takes no more says so before it runs anything; the
-    // caller gets another endpoint instead of this answer.
+    // Endpoints reject requests over their capacity before running them, so the
+    // request can go to another endpoint instead of failing.
     if (response.statusCode === 429 || response.statusCode === 503) {
       await response.body.dump();
       return {kind: 'failed', failure: 'rejected', sent: true, answered: false};
@@ -115,7 +118,7 @@
   return isResponseTimeout(err) ? 'silent' : 'connection_lost';
 }
 
-/** Copies end-to-end headers. */
+/** Returns a copy of the headers without `host` and hop-by-hop headers. */
 export function selectEndToEndHeaders(
   headers: IncomingHttpHeaders,
 ): Record<string, string | string[]> {
@@ -128,7 +131,7 @@
   return selected;
 }
 
-/** Resolves when `res` takes more, or when its caller has gone. */
+/** Resolves when `res` can take more data or its connection has closed. */
 function waitForDrain(res: ServerResponse): Promise<void> {
   return new Promise(resolve => {
     const settle = () => {
--- a/packages/wire/src/hop_by_hop.ts
+++ b/packages/wire/src/hop_by_hop.ts
@@ -1,4 +1,4 @@
-/** Headers that concern one connection only (RFC 9110, section 7.6.1). */
+/** Headers that apply to a single connection only (RFC 9110, section 7.6.1). */
 
 const HOP_BY_HOP_HEADERS: ReadonlySet<string> = new Set([
   'connection',
@@ -13,7 +13,7 @@
   'expect',
 ]);
 
-/** Whether a header must not be passed on; `name` in lower case. */
+/** Whether a header must not be forwarded; `name` is in lower case. */
 export function isHopByHop(name: string): boolean {
   return HOP_BY_HOP_HEADERS.has(name);
 }
--- a/packages/wire/src/peer_counters.ts
+++ b/packages/wire/src/peer_counters.ts
@@ -1,16 +1,16 @@
-/** Counts of what happened on the connections between VMs. */
+/** Counters of the connections between VMs. */
 
 export class PeerCounters {
   opened = 0;
-  /** Wrong or missing proof of the shared key. */
+  /** Connections with a wrong or missing proof of the shared key. */
   unauthorized = 0;
-  /** Bytes that are no message. */
+  /** Connections closed because of data that is no valid message. */
   malformed = 0;
-  /** Own messages over the size limit, not sent. */
+  /** Outgoing messages that were dropped because they exceed the size limit. */
   oversized = 0;
-  /** Open connections that went silent. */
+  /** Connections closed because nothing was received for too long. */
   silent = 0;
-  /** Peers that read too slowly. */
+  /** Connections closed because the peer read too slowly. */
   slow = 0;
   bytesSent = 0;
   bytesReceived = 0;
--- a/packages/wire/src/peer_handshake.ts
+++ b/packages/wire/src/peer_handshake.ts
@@ -1,9 +1,8 @@
 /**
- * Admission of a peer by the shared key. Each side proves the key by an HMAC
- * over both sides' random numbers and its own name; the key is never sent, and
- * a recorded proof is worth nothing against fresh numbers. Later messages rest
- * on the connection: whoever can change bytes on it must be kept out by the
- * network between the VMs.
+ * Mutual authentication of two VMs by a shared key. Each side sends an HMAC over both
+ * nonces and its own description; the key is never sent, and fresh nonces make recorded
+ * proofs useless. Later messages are not authenticated: the network between the VMs
+ * must prevent tampering with an open connection.
  */
 
 import {createHmac, timingSafeEqual} from 'node:crypto';
@@ -17,12 +16,17 @@
   toMemberWire,
 } from './peer_message.js';
 
-/** Changes when peers of another version could not read the messages. */
+/**
+ * Must change whenever messages become unreadable for peers of the previous version.
+ */
 const PROTOCOL_VERSION = 1;
 export const NONCE_BYTES = 16;
 const PROOF_BYTES = 32;
 
-/** Which side of the connection a proof is for; stops its reflection. */
+/**
+ * The side that sends a proof; part of the HMAC, so that a proof cannot be
+ * reflected.
+ */
 export type PeerRole = 'client' | 'server';
 
 /** The server's first message. */
@@ -30,14 +34,17 @@
   readonly nonce: Buffer;
 }
 
-/** The client's answer and, with its own nonce ignored, the server's. */
+/**
+ * The client's reply to the challenge, and the server's reply to it, whose nonce is
+ * ignored.
+ */
 export interface Proof {
   readonly nonce: Buffer;
   readonly member: Member;
   readonly proof: Buffer;
 }
 
-/** The random numbers of both sides. */
+/** The nonces of both sides. */
 export interface Nonces {
   readonly client: Buffer;
   readonly server: Buffer;
@@ -75,7 +82,7 @@
   return decodeWithSchema(proofSchema, data);
 }
 
-/** What `role` sends to show that it knows the key. */
+/** Computes the proof by which `role` shows that it knows the key. */
 export function computeProof(
   sharedKey: string,
   role: PeerRole,
@@ -90,7 +97,10 @@
     .digest();
 }
 
-/** Compares in constant time: how long it takes tells nothing of the key. */
+/**
+ * Compares in constant time, so that the duration reveals nothing about the expected
+ * proof.
+ */
 export function isValidProof(expected: Buffer, received: Buffer): boolean {
   return (
     expected.length === received.length && timingSafeEqual(expected, received)
--- a/packages/wire/src/peer_link.ts
+++ b/packages/wire/src/peer_link.ts
@@ -1,6 +1,6 @@
 /**
- * One connection to another VM: handshake, messages, and the watch for silence.
- * Whoever owns the link learns how it ended and opens another.
+ * One connection to another VM: handshake, messages and detection of silent
+ * connections. The handler is notified how the link ended and may open another.
  */
 
 import {randomBytes} from 'node:crypto';
@@ -23,14 +23,14 @@
 import {decodePeerMessage, encodePeerMessage} from './peer_message.js';
 
 export const PEER_LINK_LIMITS = {
-  /** From the connection to the end of the handshake. */
+  /** Maximum time from the start of the connection to the end of the handshake. */
   handshakeMs: 2000,
-  /** Nothing received for so long: ask for a sign of life. */
+  /** Time without received data after which a ping is sent. */
   pingAfterMs: 2000,
-  /** Nothing received for so long: the connection counts as silent. */
+  /** Time without received data after which the connection is closed as silent. */
   silentAfterMs: 4000,
   checkIntervalMs: 500,
-  /** A peer that leaves more than this unread is cut off. */
+  /** A peer that leaves more than this unread is disconnected. */
   maxUnsentBytes: 8 * 1024 * 1024,
 } as const;
 
@@ -46,21 +46,21 @@
 export interface PeerLinkOptions {
   readonly sharedKey: string;
   readonly maxMessageBytes: number;
-  /** How this VM describes itself now. */
+  /** Returns the current description of this VM. */
   readonly describeSelf: () => Member;
   readonly counters: PeerCounters;
 }
 
-/** What the owner of a link is told. */
+/** Callbacks to the owner of a link. */
 export interface PeerLinkHandler {
   onOpened(link: PeerLink, peer: Member): void;
   onMessage(link: PeerLink, message: GossipMessage): void;
-  /** Called once, last. */
+  /** Called exactly once, after all other callbacks. */
   onEnded(link: PeerLink, end: LinkEnd): void;
 }
 
 export class PeerLink {
-  /** The VM at the other end, once the handshake is over. */
+  /** The VM at the other end; set when the handshake has succeeded. */
   peer: Member | undefined;
   private readonly nonce = randomBytes(NONCE_BYTES);
   private challenge: Buffer | undefined;
@@ -95,18 +95,20 @@
     return this.peer !== undefined && !this.hasEnded;
   }
 
-  /** Sends, or drops the message when the link is not open. */
+  /**
+   * Sends the message; drops it if the link is not open or the message is too large.
+   */
   send(message: GossipMessage): void {
     if (!this.isOpen()) return;
-    // A paused peer leaves everything unread. It shows as this VM's memory
-    // growing; a peer that is cut off opens another link when it comes back.
+    // A paused peer reads nothing, so unsent data would fill this VM's memory. A
+    // peer that is disconnected opens another link when it runs again.
     if (this.socket.bufferedAmount > PEER_LINK_LIMITS.maxUnsentBytes) {
       this.options.counters.slow++;
       return this.end('slow');
     }
     const {counters, maxMessageBytes} = this.options;
     const data = encodePeerMessage(message);
-    // The peer would drop the connection, and with it all later messages.
+    // The peer would close the connection on it, and all later messages would be lost.
     if (data.length > maxMessageBytes) {
       counters.oversized++;
       return;
@@ -188,16 +190,16 @@
   }
 
   /**
-   * An open connection can go silent for good with no error at either end, as
-   * when something between them forgot it. It shows as messages that vanish. A
-   * live peer answers a ping, so silence after one means the connection.
+   * Ends the link when nothing was received for too long. A connection can go silent
+   * permanently without an error at either end, for example when a device in between
+   * loses its state. A live peer answers pings, so silence means a dead connection.
    */
   private checkSilence(): void {
     const nowMs = Date.now();
     const limits = PEER_LINK_LIMITS;
     const gapMs = nowMs - this.lastCheckedAtMs;
     this.lastCheckedAtMs = nowMs;
-    // This VM itself was paused: what came meanwhile is not read yet.
+    // This VM itself was paused, so data that arrived meanwhile has not been read yet.
     if (gapMs > 2 * limits.checkIntervalMs) return this.recordActivity();
     const silentMs = nowMs - this.lastReceivedAtMs;
     if (silentMs > limits.silentAfterMs) {
@@ -209,7 +211,7 @@
   }
 
   private fail(err: Error & {readonly code?: string}): void {
-    // `ws` names so what breaks the framing or the size limit.
+    // Codes that `ws` uses for violations of the framing or of the size limit.
     if (err.code?.startsWith('WS_ERR')) this.refuse('malformed');
     else this.end('closed');
   }
--- a/packages/wire/src/peer_message.ts
+++ b/packages/wire/src/peer_message.ts
@@ -1,7 +1,7 @@
 /**
- * Bytes of the messages between VMs. Arrays stand for the objects, so that a
- * name costs nothing on the wire; the schemas here check each and build the
- * typed message. What does not fit is refused as a whole.
+ * Binary encoding of the messages between VMs. Objects are packed as arrays to save
+ * the bytes of property names. The schemas validate received data and build the typed
+ * message; a message that does not match is refused completely.
  */
 
 import type {
@@ -44,15 +44,15 @@
   silent_endpoint: 2,
 } as const satisfies Record<Rumour['kind'], number>;
 
-/** Bounds beyond which a message is malformed, whatever its size in bytes. */
+/** Limits beyond which a message is malformed, whatever its size in bytes. */
 const MAX_NAME_CHARS = 200;
 const MAX_RUMOURS = 64;
 const MAX_LOAD_ENTRIES = 256;
 const MAX_MEMBERS = 1024;
 const MAX_RECORDS = 4096;
 
-// Records would carry state from message to message: one lost definition would
-// make all later messages unreadable.
+// The record extension keeps state across messages: one lost definition would make
+// all later messages unreadable.
 const packr = new Packr({useRecords: false});
 
 const nameSchema = z.string().min(1).max(MAX_NAME_CHARS);
@@ -255,17 +255,16 @@
     })),
 ]);
 
-/** Encodes one message. */
 export function encodePeerMessage(message: GossipMessage): Buffer {
   return packr.pack(toMessageWire(message));
 }
 
-/** Decodes one message; `bad_request` for anything that is none. */
+/** Decodes one message; fails with `bad_request` if `bytes` is not a valid message. */
 export function decodePeerMessage(bytes: Buffer): Result<GossipMessage> {
   return decodeWithSchema(messageSchema, bytes);
 }
 
-/** Unpacks and checks bytes that nobody vouches for. */
+/** Unpacks and validates untrusted bytes. */
 export function decodeWithSchema<T>(
   schema: z.ZodType<T>,
   bytes: Buffer,
@@ -333,5 +332,5 @@
   }
 }
 
-/** The schema of a VM's description, for the handshake. */
+/** The encoding of a VM's description, which the handshake also uses. */
 export {memberSchema, packr, toMemberWire};
--- a/packages/wire/src/peer_server.ts
+++ b/packages/wire/src/peer_server.ts
@@ -1,11 +1,14 @@
-/** The listener for other VMs. */
+/** The WebSocket listener for other VMs. */
 
 import {createServer, Server} from 'node:http';
 import {WebSocketServer} from 'ws';
 import {listenAt} from './listen.js';
 import {PeerLink, PeerLinkHandler, PeerLinkOptions} from './peer_link.js';
 
-/** Far above the contacts of a VM; more are somebody else's. */
+/**
+ * Far above the number of peers of a VM; more connections can only come from other
+ * clients.
+ */
 const MAX_CONNECTIONS = 512;
 
 export class PeerServer {
@@ -30,7 +33,7 @@
     this.sockets.on('error', () => {});
   }
 
-  /** Resolves to the address taken, `ip:port`. */
+  /** Resolves to the bound address, `ip:port`. */
   listen(address: string): Promise<string> {
     return listenAt(this.http, address);
   }
--- a/packages/wire/src/renewing_agent.ts
+++ b/packages/wire/src/renewing_agent.ts
@@ -1,13 +1,13 @@
 /**
- * Pooled HTTP connections to many endpoints, with a way to give up all that
- * lead to one of them.
+ * Pooled HTTP connections to many endpoints; all connections to one endpoint can be
+ * retired at once.
  */
 
 import {Dispatcher, Pool} from 'undici';
 
 export class RenewingAgent extends Dispatcher {
   private readonly pools = new Map<string, Pool>();
-  /** Pools that take no new requests and wait for theirs to end. */
+  /** Pools that accept no new requests and close when their current ones have ended. */
   private readonly retired = new Set<Pool>();
 
   constructor(private readonly options: Pool.Options = {}) {
@@ -25,13 +25,13 @@
   }
 
   /**
-   * Lets new requests to `origin` take new connections only.
+   * Retires all connections to `origin`, so that new requests use new ones.
    *
-   * Something between the two ends can lose track of connections: they go
-   * silent for good while new ones work. It shows as requests that time out one
-   * after another, each on the next idle connection of the pool. A request that
-   * met one silent connection gives them all up, so that no other meets one.
-   * Requests in flight on them go on: theirs may be alive.
+   * A device between the two ends can lose its connection state: existing connections
+   * go silent permanently while new ones work. Requests then time out one after
+   * another, each on the next idle connection of the pool. One silent connection
+   * therefore retires the pool. Requests in flight continue, as their connections may
+   * still work.
    */
   renew(origin: string): void {
     const pool = this.pools.get(origin);
@@ -67,7 +67,7 @@
   }
 }
 
-/** Gives up the connections to `origin` where `dispatcher` can do so. */
+/** Retires the connections to `origin` if `dispatcher` supports it. */
 export function renewConnections(dispatcher: Dispatcher, origin: string): void {
   if (dispatcher instanceof RenewingAgent) dispatcher.renew(origin);
 }
--- a/packages/wire/src/request_body.ts
+++ b/packages/wire/src/request_body.ts
@@ -1,4 +1,4 @@
-/** Reads a request's body whole, up to a limit. */
+/** Reads complete request bodies up to a size limit. */
 
 import type {IncomingMessage} from 'node:http';
 import {createError} from '@radishyoke/shared/error_kind';
@@ -18,15 +18,22 @@
         chunks.push(chunk);
         return;
       }
-      // The rest is read and dropped. Breaking the connection here would reset
-      // it before the refusal is read, and the caller would see no reason.
+      // The rest is read and discarded. Closing the connection here would reset it
+      // before the caller has read the error response.
       chunks.length = 0;
       const detail = `body over ${maxBytes} bytes`;
       resolve(fail(createError('too_large', detail)));
     });
     req.once('end', () => resolve(succeed(Buffer.concat(chunks))));
     req.once('close', () =>
-      resolve(fail(createError('bad_request', 'the body broke off'))),
+      resolve(
+        fail(
+          createError(
+            'bad_request',
+            'the connection closed before the end of the body',
+          ),
+        ),
+      ),
     );
   });
 }
