--- a/packages/cli/src/__tests__/admin_commands.spec.ts
+++ b/packages/cli/src/__tests__/admin_commands.spec.ts
@@ -94,7 +94,7 @@
   }
 }
 
-function writeRules(name: string, text: string): string {
+function writeTempFile(name: string, text: string): string {
   const path = join(mkdtempSync(join(tmpdir(), 'radishyoke-')), name);
   writeFileSync(path, text);
   return path;
@@ -124,15 +124,21 @@
   t.is((await run(['rules', 'show'])).out, readFileSync(rules, 'utf8'));
 
   const text = readFileSync(rules, 'utf8').replace('/orders, /lessons', '/x');
-  const changed = writeRules('changed.ini', text);
+  const changed = writeTempFile('changed.ini', text);
   const dryRun = await run(['rules', 'dry-run', changed, '--json']);
   t.like(JSON.parse(dryRun.out).changed[0], {
     tenant: 'lesson-app',
     before: 'app',
     after: 'others',
   });
-  const late = await run(['rules', 'publish', changed, '--based-on', 'none']);
-  t.is(late.code, 7, late.err);
+  const outdated = await run([
+    'rules',
+    'publish',
+    changed,
+    '--based-on',
+    'none',
+  ]);
+  t.is(outdated.code, 7, outdated.err);
   const next = await run(['rules', 'publish', changed, '--based-on', '0']);
   t.is(next.code, 0, next.err);
   t.regex((await run(['rules', 'diff'])).out, /-when\.path_prefix = \/orders/);
@@ -201,19 +207,22 @@
   t.is((await run(['audit', 'show', '--subject', 'r2'])).out, '');
   const theirs = await run(['audit', 'show'], strangerToken);
   t.like(JSON.parse(theirs.out), {request: 'r2'});
-  const kept = writeRules('audit.jsonl', '');
-  const refused = await run(['audit', 'export', '--out', kept], strangerToken);
+  const exportPath = writeTempFile('audit.jsonl', '');
+  const refused = await run(
+    ['audit', 'export', '--out', exportPath],
+    strangerToken,
+  );
   t.is(refused.code, 5);
-  t.is((await run(['audit', 'export', '--out', kept])).code, 0);
-  const verified = await runInProcess(['audit', 'verify', kept]);
+  t.is((await run(['audit', 'export', '--out', exportPath])).code, 0);
+  const verified = await runInProcess(['audit', 'verify', exportPath]);
   t.is(verified.code, 0, verified.out);
   t.regex(verified.out, /2 blocks, 2 entries, 0 faults/);
-  const forged = readFileSync(kept, 'utf8').replace(
+  const tampered = readFileSync(exportPath, 'utf8').replace(
     '"rule":"app"',
     '"rule":"x"',
   );
-  writeFileSync(kept, forged);
-  t.is((await runInProcess(['audit', 'verify', kept])).code, 8);
+  writeFileSync(exportPath, tampered);
+  t.is((await runInProcess(['audit', 'verify', exportPath])).code, 8);
 });
 
 test('a report is one page with its plots and no way out of its script', async t => {
@@ -224,7 +233,7 @@
   ];
   const metrics = registry.encode();
   const line = {delivered: 7, note: '<i>', timelines, metrics};
-  const file = writeRules('run.jsonl', `text\n${JSON.stringify(line)}\n`);
+  const file = writeTempFile('run.jsonl', `text\n${JSON.stringify(line)}\n`);
   const page = `${file}.html`;
   const run = await runInProcess(['report', file, '--out', page]);
   t.is(run.code, 0, run.err);
--- a/packages/cli/src/__tests__/cli.spec.ts
+++ b/packages/cli/src/__tests__/cli.spec.ts
@@ -9,65 +9,75 @@
   readonly args: readonly string[];
   readonly code: number;
   /** Must appear in what is written to either stream. */
-  readonly says: string;
+  readonly expectedText: string;
 }
 
 const cases: readonly CliCase[] = [
-  {name: 'valid rules', args: ['check', RULES], code: 0, says: 'valid rules'},
+  {
+    name: 'valid rules',
+    args: ['check', RULES],
+    code: 0,
+    expectedText: 'valid rules',
+  },
   {
     name: 'valid settings',
     args: ['check', SETTINGS],
     code: 0,
-    says: 'valid settings',
+    expectedText: 'valid settings',
   },
   {
     name: 'a missing file',
     args: ['check', '/nonexistent'],
     code: 3,
-    says: 'a readable file',
+    expectedText: 'a readable file',
   },
   {
     name: 'serving with rules in place of settings',
     args: ['serve', RULES],
     code: 3,
-    says: '',
+    expectedText: '',
   },
   {
     name: 'an unknown command',
     args: ['frob'],
     code: 2,
-    says: 'unknown command frob',
+    expectedText: 'unknown command frob',
   },
   {
     name: 'an unknown option',
     args: ['check', RULES, '--frob'],
     code: 2,
-    says: '--frob',
+    expectedText: '--frob',
   },
   {
     name: 'a missing argument',
     args: ['check'],
     code: 2,
-    says: 'missing required args',
+    expectedText: 'missing required args',
+  },
+  {
+    name: 'a missing tenant',
+    args: ['explain', RULES],
+    code: 2,
+    expectedText: 'tenant',
   },
-  {name: 'a missing tenant', args: ['explain', RULES], code: 2, says: 'tenant'},
   {
     name: 'a request that is no JSON',
     args: ['explain', RULES, '--request', '{'],
     code: 2,
-    says: '--request wants a JSON object',
+    expectedText: '--request wants a JSON object',
   },
   {
     name: 'a class that is none',
     args: ['explain', RULES, '--tenant', 'x', '--class', 'batch'],
     code: 2,
-    says: 'workClass',
+    expectedText: 'workClass',
   },
   {
     name: 'settings in place of rules',
     args: ['explain', SETTINGS, '--tenant', 'x'],
     code: 3,
-    says: '[vm]',
+    expectedText: '[vm]',
   },
   {
     name: 'the rule for an order',
@@ -82,7 +92,7 @@
       '/orders/7',
     ],
     code: 0,
-    says: 'match [rule.place-order]: route to app',
+    expectedText: 'match [rule.place-order]: route to app',
   },
   {
     name: 'why earlier rules do not match',
@@ -93,32 +103,36 @@
       '{"tenant":"lesson-app","model":"hint-tutor","method":"POST","path":"/v1"}',
     ],
     code: 0,
-    says: 'skip  [rule.place-order]: when.path_prefix wants /orders, the request has /v1',
+    expectedText:
+      'skip  [rule.place-order]: when.path_prefix wants /orders, the request has /v1',
   },
   {
     name: 'a refusal',
     args: ['explain', RULES, '--tenant', '007', '--json'],
     code: 0,
-    says: '"found":"007"',
+    expectedText: '"found":"007"',
   },
   {
     name: 'bash completion',
     args: ['completion', 'bash'],
     code: 0,
-    says: 'explain) words="--request',
+    expectedText: 'explain) words="--request',
   },
   {
     name: 'another shell',
     args: ['completion', 'fish'],
     code: 2,
-    says: 'only bash',
+    expectedText: 'only bash',
   },
 ];
 
-for (const {name, args, code, says} of cases) {
+for (const {name, args, code, expectedText} of cases) {
   test(`the command line answers ${name}`, async t => {
     const run = await runInProcess(args);
     t.is(run.code, code as typeof run.code, run.err);
-    t.true(`${run.out}\n${run.err}`.includes(says), `${run.out}\n${run.err}`);
+    t.true(
+      `${run.out}\n${run.err}`.includes(expectedText),
+      `${run.out}\n${run.err}`,
+    );
   });
 }
--- a/packages/cli/src/admin_commands.ts
+++ b/packages/cli/src/admin_commands.ts
@@ -50,9 +50,9 @@
   return forEachClient(
     run,
     client => client.get('status', 'status'),
-    all =>
+    statuses =>
       renderItems(
-        all.map(({vm, dataCentre, ready, draining, works, log}) => ({
+        statuses.map(({vm, dataCentre, ready, draining, works, log}) => ({
           vm,
           dataCentre,
           ready,
@@ -95,7 +95,10 @@
       return result;
     },
     () => renderMetrics(merged),
-    () => ({histograms: summarizeAll(merged), counters: merged.listCounters()}),
+    () => ({
+      histograms: summarizeHistograms(merged),
+      counters: merged.listCounters(),
+    }),
   );
 }
 
@@ -111,18 +114,18 @@
   return forEachClient(
     run,
     client => client.post('drained', 'drain', {kind, id}),
-    all => `${kind} ${id}: draining, on ${all.length} VM(s)`,
+    answers => `${kind} ${id}: draining, on ${answers.length} VM(s)`,
   );
 }
 
 async function forEachClient<T>(
   run: AdminRun,
-  ask: (client: AdminClient) => Promise<Result<T, AdminFailure>>,
+  call: (client: AdminClient) => Promise<Result<T, AdminFailure>>,
   render: (answers: readonly T[]) => string,
   toJson: (answers: readonly T[]) => unknown = answers => answers,
 ): Promise<ExitCode> {
   const clients = createClients(run.io, run.rawArgs);
-  const results = await Promise.all(clients.map(ask));
+  const results = await Promise.all(clients.map(call));
   const answers = results.flatMap(result => (result.ok ? [result.value] : []));
   if (answers.length > 0) {
     const text = run.json ? JSON.stringify(toJson(answers)) : render(answers);
@@ -133,7 +136,7 @@
   return failures[0]?.code ?? EXIT_CODES.ok;
 }
 
-function summarizeAll(registry: MetricRegistry) {
+function summarizeHistograms(registry: MetricRegistry) {
   return registry.listHistograms().map(({name, tenant, workClass}) => ({
     name,
     tenant,
@@ -146,15 +149,15 @@
 }
 
 function renderMetrics(registry: MetricRegistry): string {
-  const rows = summarizeAll(registry).map(one => [
-    one.tenant,
-    one.workClass,
-    `${one.name} (${HISTOGRAMS[one.name as HistogramName].unit})`,
-    one.count,
-    one.p50,
-    one.p90,
-    one.p99,
-    one.max,
+  const rows = summarizeHistograms(registry).map(summary => [
+    summary.tenant,
+    summary.workClass,
+    `${summary.name} (${HISTOGRAMS[summary.name as HistogramName].unit})`,
+    summary.count,
+    summary.p50,
+    summary.p90,
+    summary.p99,
+    summary.max,
   ]);
   const headings = [
     'tenant',
--- a/packages/cli/src/audit_command.ts
+++ b/packages/cli/src/audit_command.ts
@@ -41,7 +41,7 @@
 /** Prints entries of the team, one JSON object a line. */
 async function show(run: AdminRun): Promise<ExitCode> {
   const subject = readOption(run.rawArgs, 'subject');
-  return forEachPage(run, 'audit', {subject}, ({record}) =>
+  return forEachEntry(run, 'audit', {subject}, ({record}) =>
     run.io.writeOut(JSON.stringify(record)),
   );
 }
@@ -52,7 +52,7 @@
     const exporter = new AuditExporter();
     const write = (line: string) => out.write(`${line}\n`);
     await write(exporter.begin(Number(readOption(run.rawArgs, 'from') ?? 0)));
-    const code = await forEachPage(
+    const code = await forEachEntry(
       run,
       'audit/blocks',
       {},
@@ -68,24 +68,24 @@
   }
 }
 
-type Take = (entry: {
+type EntryHandler = (entry: {
   readonly offset: number;
   readonly timeMs: number;
   readonly record: unknown;
 }) => unknown;
 
-async function forEachPage(
+async function forEachEntry(
   run: AdminRun,
   path: string,
   query: Readonly<Record<string, string | undefined>>,
-  take: Take,
+  handleEntry: EntryHandler,
 ): Promise<ExitCode> {
   const [client] = createClients(run.io, run.rawArgs);
   let from = readOption(run.rawArgs, 'from') ?? '0';
   for (;;) {
     const page = await readPage(client, path, {...query, from});
     if (!page.ok) return reportFailure(run.io, page.error);
-    for (const entry of page.value.records) await take(entry);
+    for (const entry of page.value.records) await handleEntry(entry);
     const next = String(page.value.next);
     if (next === from) return EXIT_CODES.ok;
     from = next;
--- a/packages/cli/src/config_file.ts
+++ b/packages/cli/src/config_file.ts
@@ -22,7 +22,7 @@
   if (!text.ok) return text;
   const ini = readIni(text.value, path);
   if (!ini.ok) return ini;
-  switch (recognise(ini.value)) {
+  switch (detectKind(ini.value)) {
     case 'rules': {
       const rules = parseRuleText(text.value, path);
       if (!rules.ok) return rules;
@@ -34,7 +34,7 @@
       return succeed({kind: 'settings', settings: settings.value});
     }
     default:
-      return failWhole(path, 'a section [rule.NAME] or [vm]', 'neither');
+      return failFile(path, 'a section [rule.NAME] or [vm]', 'neither');
   }
 }
 
@@ -51,12 +51,14 @@
   return succeed({ruleSet: rules.value, text: text.value});
 }
 
-function recognise(
+function detectKind(
   sections: readonly IniSection[],
 ): 'rules' | 'settings' | undefined {
-  const has = (pattern: RegExp) => sections.some(s => pattern.test(s.name));
-  if (has(/^(rule|group)\./)) return 'rules';
-  if (has(/^(vm|platform|peers|tenants|limits|leases)$/)) return 'settings';
+  const hasSection = (pattern: RegExp) =>
+    sections.some(s => pattern.test(s.name));
+  if (hasSection(/^(rule|group)\./)) return 'rules';
+  if (hasSection(/^(vm|platform|peers|tenants|limits|leases)$/))
+    return 'settings';
   return undefined;
 }
 
@@ -65,11 +67,11 @@
     return succeed(await readFile(path, 'utf8'));
   } catch (err) {
     const found = err instanceof Error ? err.message : String(err);
-    return failWhole(path, 'a readable file', found);
+    return failFile(path, 'a readable file', found);
   }
 }
 
-function failWhole(
+function failFile(
   file: string,
   expected: string,
   found: string,
--- a/packages/cli/src/day_page.ts
+++ b/packages/cli/src/day_page.ts
@@ -84,11 +84,11 @@
 }
 
 function listLoads({loads}: DaySummary): readonly Row[] {
-  const markMs = 150;
+  const markWidthMs = 150;
   const bars = loads.map(load => ({
     ...load,
     fromMs: load.atMs,
-    toMs: load.atMs + markMs,
+    toMs: load.atMs + markWidthMs,
     colour: COLOURS.load,
   }));
   return groupRows(bars, ({endpoint}) => endpoint);
@@ -105,7 +105,7 @@
   }
   return [...rows]
     .sort(([a], [b]) => a.localeCompare(b))
-    .map(([label, own]) => ({label, bars: own}));
+    .map(([label, rowBars]) => ({label, bars: rowBars}));
 }
 
 function drawRows(day: DaySummary, rows: readonly Row[]): string {
@@ -124,14 +124,14 @@
 }
 
 function drawCounts(day: DaySummary, {name, counts}: CountsPerSecond): string {
-  const most = Math.max(...counts);
+  const maxCount = Math.max(...counts);
   const rects = counts.map((count, second) => {
-    const height = (count / most) * PLOT_HEIGHT;
+    const height = (count / maxCount) * PLOT_HEIGHT;
     const x = toX(day, day.fromMs + second * 1e3).toFixed(1);
     const y = (PLOT_HEIGHT - height).toFixed(1);
     return `<rect x="${x}" y="${y}" width="3" height="${height.toFixed(1)}" fill="${COLOURS.count}"/>`;
   });
-  const label = `<text x="0" y="12">${escapeHtml(name)}</text><text x="0" y="26">most: ${most}</text>`;
+  const label = `<text x="0" y="12">${escapeHtml(name)}</text><text x="0" y="26">most: ${maxCount}</text>`;
   return drawSvg(PLOT_HEIGHT, label + rects.join(''));
 }
 
--- a/packages/cli/src/explain_command.ts
+++ b/packages/cli/src/explain_command.ts
@@ -54,7 +54,7 @@
     ...rest,
     tenant: toTenantId(tenant),
     dataCentre: toDataCentreId(dataCentre),
-    headers: lowerNames(headers),
+    headers: lowerCaseNames(headers),
   };
 }
 
@@ -77,7 +77,7 @@
   return [text.slice(0, colon).trim(), text.slice(colon + 1).trim()];
 }
 
-function lowerNames(
+function lowerCaseNames(
   headers: Readonly<Record<string, string>>,
 ): RuleFacts['headers'] {
   return Object.fromEntries(
--- a/packages/cli/src/report_command.ts
+++ b/packages/cli/src/report_command.ts
@@ -34,7 +34,7 @@
   file: string | undefined,
 ): Promise<ExitCode> {
   const out = requireOption(run.rawArgs, 'out');
-  const page = file === undefined ? await askVms(run) : await readPage(file);
+  const page = file === undefined ? await queryVms(run) : await readPage(file);
   if (typeof page === 'number') return page;
   await writeFile(out, page);
   run.io.writeErr(`${out} is written`);
@@ -49,7 +49,7 @@
   return renderReport(readRun(file, text));
 }
 
-async function askVms(run: AdminRun): Promise<string | ExitCode> {
+async function queryVms(run: AdminRun): Promise<string | ExitCode> {
   const metrics = new MetricRegistry();
   const figures: Array<Readonly<Record<string, unknown>>> = [];
   for (const client of createClients(run.io, run.rawArgs)) {
@@ -58,7 +58,7 @@
     const histograms = await client.get('histograms', 'histograms');
     if (!histograms.ok) return reportFailure(run.io, histograms.error);
     figures.push(status.value);
-    merge(metrics, histograms.value as EncodedMetrics);
+    mergeMetrics(metrics, histograms.value as EncodedMetrics);
   }
   const title = 'Radishyoke: figures of running VMs';
   return renderReport({title, figures, metrics, timelines: []});
@@ -74,7 +74,7 @@
     const {metrics: encoded, timelines: steps = [], ...rest} = parsed.data;
     figures.push(rest);
     timelines.push(...steps);
-    if (encoded) merge(metrics, encoded as EncodedMetrics);
+    if (encoded) mergeMetrics(metrics, encoded as EncodedMetrics);
   }
   if (figures.length === 0) {
     throw new UsageError(`${file} holds no line with a JSON object`);
@@ -82,7 +82,7 @@
   return {title: `Radishyoke: ${file}`, figures, metrics, timelines};
 }
 
-function merge(metrics: MetricRegistry, encoded: EncodedMetrics): void {
+function mergeMetrics(metrics: MetricRegistry, encoded: EncodedMetrics): void {
   const merged = metrics.merge(encoded);
   if (!merged.ok) throw new UsageError(merged.error.detail);
 }
--- a/packages/cli/src/report_page.ts
+++ b/packages/cli/src/report_page.ts
@@ -90,7 +90,7 @@
     '<h2>Counters</h2>',
     renderCounters(metrics),
     `<script>${readAsset('uPlot.iife.min.js')}</script>`,
-    `<script>const percentiles=${toScript(PERCENTILES)},colours=${toScript(COLOURS)},plots=${toScript(plots)},timeline=${toScript(timeline)};${SCRIPT}${TIMELINE_SCRIPT}</script>`,
+    `<script>const percentiles=${toScriptLiteral(PERCENTILES)},colours=${toScriptLiteral(COLOURS)},plots=${toScriptLiteral(plots)},timeline=${toScriptLiteral(timeline)};${SCRIPT}${TIMELINE_SCRIPT}</script>`,
     '</body></html>',
     '',
   ].join('\n');
@@ -98,7 +98,7 @@
 
 function createPlots(series: readonly HistogramSeries[]): readonly Plot[] {
   return Object.entries(HISTOGRAMS).flatMap(([name, {unit, help}]) => {
-    const lines = series.filter(one => one.name === name);
+    const lines = series.filter(candidate => candidate.name === name);
     if (lines.length === 0) return [];
     const values = lines.map(({histogram}) =>
       PERCENTILES.map(p => histogram.getValueAtPercentile(p)),
@@ -106,7 +106,7 @@
     return {
       title: `${name.replaceAll('_', ' ')}: ${help}`,
       unit,
-      names: lines.map(one => `${one.tenant} ${one.workClass}`),
+      names: lines.map(line => `${line.tenant} ${line.workClass}`),
       data: [PERCENTILES.map((_, i) => i), ...values],
     };
   });
@@ -137,10 +137,10 @@
   headings: readonly string[],
   rows: ReadonlyArray<readonly string[]>,
 ): string {
-  const line = (tag: string, cells: readonly string[]) =>
+  const renderRow = (tag: string, cells: readonly string[]) =>
     `<tr>${cells.map(cell => `<${tag}>${escapeHtml(cell)}</${tag}>`).join('')}</tr>`;
-  const body = rows.map(row => line('td', row)).join('\n');
-  return `<table>${line('th', headings)}\n${body}</table>`;
+  const body = rows.map(row => renderRow('td', row)).join('\n');
+  return `<table>${renderRow('th', headings)}\n${body}</table>`;
 }
 
 function readAsset(name: string): string {
@@ -149,6 +149,6 @@
 }
 
 /** A literal that can not end the script it stands in. */
-function toScript(value: unknown): string {
+function toScriptLiteral(value: unknown): string {
   return JSON.stringify(value).replaceAll('<', '\\u003c');
 }
--- a/packages/cli/src/rules_command.ts
+++ b/packages/cli/src/rules_command.ts
@@ -49,7 +49,7 @@
 ): Promise<ExitCode> {
   const read = await readRulesFile(requireFile(file));
   if (!read.ok) return reportProblems(run.io, file!, read.error, run.json);
-  const basedOn = await findBase(run, client);
+  const basedOn = await findBaseVersion(run, client);
   if (typeof basedOn !== 'number') return basedOn.code;
   const {text} = read.value;
   const result = await client.post('published', 'rules', {basedOn, text});
@@ -61,7 +61,7 @@
 }
 
 /** The version given by `--based-on`, or else the one in force. */
-async function findBase(
+async function findBaseVersion(
   run: AdminRun,
   client: AdminClient,
 ): Promise<number | {readonly code: ExitCode}> {
--- a/packages/cli/src/step_timeline.ts
+++ b/packages/cli/src/step_timeline.ts
@@ -20,7 +20,7 @@
 }
 
 /** Points along the time axis. */
-const pointCount = 200;
+const intervalCount = 200;
 const msPerSecond = 1000;
 
 /** Counts what each step had received at each point; nothing outside the step. */
@@ -31,20 +31,21 @@
     1,
     ...timelines.map(({openedMs, arrivalsMs}) => arrivalsMs.at(-1) ?? openedMs),
   );
-  const points = Array.from(
-    {length: pointCount + 1},
-    (_, i) => (endMs * i) / pointCount,
+  const timesMs = Array.from(
+    {length: intervalCount + 1},
+    (_, i) => (endMs * i) / intervalCount,
   );
-  const stepMs = endMs / pointCount;
+  const intervalMs = endMs / intervalCount;
   const lines = timelines.map(({openedMs, arrivalsMs}) => {
     const lastMs = arrivalsMs.at(-1) ?? openedMs;
-    return points.map(atMs => {
-      if (atMs < openedMs - stepMs || atMs > lastMs + stepMs) return null;
+    return timesMs.map(atMs => {
+      if (atMs < openedMs - intervalMs || atMs > lastMs + intervalMs)
+        return null;
       return arrivalsMs.filter(arrivedMs => arrivedMs <= atMs).length;
     });
   });
   return {
     names: timelines.map(({tenant, step}) => `${tenant} ${step}`),
-    data: [points.map(atMs => atMs / msPerSecond), ...lines],
+    data: [timesMs.map(atMs => atMs / msPerSecond), ...lines],
   };
 }
--- a/packages/cli/src/token_command.ts
+++ b/packages/cli/src/token_command.ts
@@ -43,8 +43,8 @@
 
 function readRoles(text: string): string {
   const roles = text.split(',').map(role => role.trim());
-  const known: readonly string[] = ROLES;
-  if (!roles.every(role => known.includes(role))) {
+  const validRoles: readonly string[] = ROLES;
+  if (!roles.every(role => validRoles.includes(role))) {
     throw new UsageError(`--roles wants some of ${ROLES.join(', ')}`);
   }
   return roles.join(', ');
@@ -55,6 +55,6 @@
   if (!Number.isInteger(count) || count < 1 || count > MAX_DAYS) {
     throw new UsageError(`--days wants a number from 1 to ${MAX_DAYS}`);
   }
-  const at = new Date(Date.now() + count * MS_PER_DAY);
-  return at.toISOString().replace(/\.\d+Z$/, 'Z');
+  const expiresAt = new Date(Date.now() + count * MS_PER_DAY);
+  return expiresAt.toISOString().replace(/\.\d+Z$/, 'Z');
 }
--- a/packages/cli/src/trace_command.ts
+++ b/packages/cli/src/trace_command.ts
@@ -31,7 +31,8 @@
     io.writeErr(`no line of ${lines.length} names ${id}`);
     return EXIT_CODES.failure;
   }
-  if (json) for (const step of path) io.writeOut(JSON.stringify(toJson(step)));
+  if (json)
+    for (const entry of path) io.writeOut(JSON.stringify(toJson(entry)));
   else io.writeOut(renderPath(path));
   return EXIT_CODES.ok;
 }
