--- a/packages/cli/src/__tests__/admin_commands.spec.ts
+++ b/packages/cli/src/__tests__/admin_commands.spec.ts
@@ -22,7 +22,7 @@
   return {section: out, token: err.split('\n')[1]};
 }
 
-/** One VM before stand-ins, with a token of the team and one of another. */
+/** Starts one VM and stand-ins; two teams have a token each. */
 async function createFixture(t: ExecutionContext) {
   const standIns = await startStandIns({
     model: 'hint-tutor',
@@ -102,7 +102,7 @@
 
 const succeeded = ({code}: CliRun) => code === 0;
 
-test('an operator drives a VM from publication to figures', async t => {
+test('an operator publishes rules, then reads figures, audits and drains', async t => {
   const {run, callers, strangerToken, drains} = await createFixture(t);
   const rules = examplePath('rules-kodkutu.ini');
   await waitFor(() => run(['rules', 'publish', rules]), succeeded);
@@ -188,11 +188,10 @@
   };
 }
 
-// An auditor asks what became of one request.
-// 1. Two teams' requests stand in one chain of blocks.
-// 2. Each team may read its own; the platform team keeps the whole and checks it.
-// 3. Later somebody changes one entry in the copy that was kept.
-test('the audit is shown by team, exported whole and checked offline', async t => {
+// The requests of two teams are in one chain of blocks. Each team may read only its
+// own entries; the platform team may export all of them. Verifying the export must
+// detect that an entry was changed afterwards.
+test('audit entries are shown by team, exported completely and verified offline', async t => {
   const {run, log, strangerToken} = await createFixture(t);
   const chain = new AuditChain('entry-1/a');
   const blocks = [
@@ -225,7 +224,7 @@
   t.is((await runInProcess(['audit', 'verify', exportPath])).code, 8);
 });
 
-test('a report is one page with its plots and no way out of its script', async t => {
+test('a report is a self-contained page whose data can not break out of its script', async t => {
   const registry = new MetricRegistry();
   registry.recordValue('duration', '</script><b>', 'interactive', 40);
   const timelines = [
@@ -246,7 +245,7 @@
   t.regex(html, /,1,1,2\]\]\}/);
 });
 
-test('a VM that can not be reached is told by its exit code', async t => {
+test('an unreachable VM gives its own exit code', async t => {
   const run = await runInProcess(['status', '--admin', '127.0.0.1:1'], {
     RADISHYOKE_TOKEN: 'a.b',
   });
--- a/packages/cli/src/__tests__/cli.spec.ts
+++ b/packages/cli/src/__tests__/cli.spec.ts
@@ -8,7 +8,7 @@
   readonly name: string;
   readonly args: readonly string[];
   readonly code: number;
-  /** Must appear in what is written to either stream. */
+  /** Must appear on the standard output or the standard error. */
   readonly expectedText: string;
 }
 
@@ -62,13 +62,13 @@
     expectedText: 'tenant',
   },
   {
-    name: 'a request that is no JSON',
+    name: 'a request that is not JSON',
     args: ['explain', RULES, '--request', '{'],
     code: 2,
     expectedText: '--request wants a JSON object',
   },
   {
-    name: 'a class that is none',
+    name: 'an unknown work class',
     args: ['explain', RULES, '--tenant', 'x', '--class', 'batch'],
     code: 2,
     expectedText: 'workClass',
@@ -127,7 +127,7 @@
 ];
 
 for (const {name, args, code, expectedText} of cases) {
-  test(`the command line answers ${name}`, async t => {
+  test(`the command line handles ${name}`, async t => {
     const run = await runInProcess(args);
     t.is(run.code, code as typeof run.code, run.err);
     t.true(
--- a/packages/cli/src/__tests__/cli_fixture.ts
+++ b/packages/cli/src/__tests__/cli_fixture.ts
@@ -1,4 +1,4 @@
-/** Runs the command line in this process and keeps what it writes. */
+/** Runs the command line in this process and captures its output. */
 
 import {runCli} from '../cli.js';
 import type {ExitCode} from '../exit_code.js';
@@ -9,7 +9,7 @@
   readonly err: string;
 }
 
-/** The path of a checked-in example. */
+/** Returns the path of a file under `examples/`. */
 export function examplePath(name: string): string {
   const url = new URL(`../../../../examples/${name}`, import.meta.url);
   return url.pathname;
--- a/packages/cli/src/__tests__/pages.spec.ts
+++ b/packages/cli/src/__tests__/pages.spec.ts
@@ -9,19 +9,19 @@
 
 const root = fileURLToPath(new URL('../../../..', import.meta.url));
 const commandTimeoutMs = 20_000;
-/** Blocks that run until they are interrupted, or run all of CI again. */
+/** Matches blocks that run until interrupted, or that would run all of CI again. */
 const skipped = /^\s*(npm |bash \.ci|npx radishyoke demo --hold)/;
 const pages = ['docs/API.md', 'docs/OPERATIONS.md'];
 
-/** Shell blocks of a page, each as one script. */
+/** Returns the shell blocks of a page, each as one script. */
 async function readBlocks(page: string): Promise<readonly string[]> {
   const text = await readFile(path.join(root, page), 'utf8');
   const blocks = [...text.matchAll(/^ *```sh\n([\s\S]*?)^ *```/gm)];
   return blocks.map(match => match[1]).filter(block => !skipped.test(block));
 }
 
-// A newcomer copies a command from a page and it fails: a flag was renamed or an
-// example file moved, and nothing had run the page since.
+// Guards against commands in the pages that fail for a reader because a flag was
+// renamed or an example file moved.
 test('every command in the pages runs as written', async t => {
   t.timeout(commandTimeoutMs * pages.length);
   const deployment = new DemoDeployment();
--- a/packages/cli/src/__tests__/serve_signals.spec.ts
+++ b/packages/cli/src/__tests__/serve_signals.spec.ts
@@ -18,7 +18,7 @@
   t.teardown(() => pipe.remove());
   let output = '';
   child.stdout.setEncoding('utf8').on('data', text => (output += text));
-  /** Waits until the log has `text`, or the process is gone. */
+  /** Waits until the log contains `text` or the process has exited; returns the log. */
   const waitForText = async (text: string) => {
     while (!output.includes(text) && child.exitCode === null) {
       if (child.signalCode !== null) break;
@@ -29,10 +29,9 @@
   return {pipe, child, ended, waitForText};
 }
 
-// A VM ends without a drain, and the requests in flight with it.
-// 1. An operator changes the settings and sends SIGHUP, as to any other daemon.
-// 2. The program had no handler for it, at any time.
-test('a reload changes nothing but is told', async t => {
+// Guards against SIGHUP ending a VM without a drain, which fails its requests in
+// flight: an operator changes the settings and sends SIGHUP, as to other daemons.
+test('SIGHUP logs the changed settings and does not end the VM', async t => {
   const {pipe, child, ended, waitForText} = startServe(t);
   const write = await pipe.waitForReader();
   child.kill('SIGHUP');
@@ -44,10 +43,9 @@
   t.is(await ended, 0);
 });
 
-// A second request to stop cuts off what the drain waits for.
-// 1. SIGTERM begins the drain; its handler was for one signal only.
-// 2. The next one finds none and ends the process at once.
-test('a VM that drains is not ended by another SIGTERM', async t => {
+// Guards against a second signal cutting the drain short: if the handler were
+// installed for one signal only, the next one would end the process at once.
+test('a draining VM is not ended by another SIGTERM or SIGINT', async t => {
   const {pipe, child, ended, waitForText} = startServe(t);
   const write = await pipe.waitForReader();
   write(createLoneVmSettings({notice: '300ms'}));
--- a/packages/cli/src/__tests__/trace_command.spec.ts
+++ b/packages/cli/src/__tests__/trace_command.spec.ts
@@ -4,7 +4,7 @@
 import test from 'ava';
 import {examplePath, runInProcess} from './cli_fixture.js';
 
-/** A line as a VM writes it. */
+/** Creates a log line in the format of a VM. */
 function createLine(
   vm: string,
   time: number,
@@ -25,7 +25,7 @@
   'a line of something else',
 ].join('\n');
 
-test('trace prints the path of an id with the reason of each turn', async t => {
+test('trace prints the path of an id with the reason for each event', async t => {
   const {code, out} = await runInProcess(['trace', 'cc27'], {}, LOG);
   t.is(code, 0);
   const [heading, first, second, ...more] = out.split('\n');
@@ -35,7 +35,7 @@
   t.deepEqual(more, []);
 });
 
-test('trace prints JSON lines for programs', async t => {
+test('trace prints JSON lines with --json', async t => {
   const {out} = await runInProcess(['trace', 'cc27', '--json'], {}, LOG);
   const [first] = out.split('\n').map(line => JSON.parse(line));
   t.like(first, {
@@ -47,7 +47,7 @@
   });
 });
 
-test('trace says so when no line names the id, or a file can not be read', async t => {
+test('trace reports an id that no line names, and a file that can not be read', async t => {
   const unheard = await runInProcess(['trace', 'unheard'], {}, LOG);
   t.is(unheard.code, 1);
   t.regex(unheard.err, /no line of 3 names unheard/);
@@ -56,7 +56,7 @@
   t.regex(missing.err, /can not be read/);
 });
 
-test('report draws the day that logs tell of', async t => {
+test('report draws a day from logs', async t => {
   const folder = await mkdtemp(path.join(tmpdir(), 'radishyoke-day-'));
   t.teardown(() => rm(folder, {recursive: true}));
   const page = path.join(folder, 'day.html');
--- a/packages/cli/src/admin_client.ts
+++ b/packages/cli/src/admin_client.ts
@@ -12,14 +12,14 @@
 import {readOption} from './raw_option.js';
 import {UsageError} from './usage_error.js';
 
-/** Environment variable with one address or several, commas between. */
+/** Environment variable with one or more addresses, separated by commas. */
 export const ADMIN_VARIABLE = 'RADISHYOKE_ADMIN';
-/** Environment variable with the token; an argument would show in `ps`. */
+/** Environment variable with the token; as an argument it would be visible in `ps`. */
 export const TOKEN_VARIABLE = 'RADISHYOKE_TOKEN';
 
 const TIMEOUT_MS = 10_000;
 
-/** Why a call failed, and the exit code that tells it. */
+/** Why a call failed, and the exit code for that. */
 export interface AdminFailure {
   readonly code: ExitCode;
   readonly message: string;
@@ -92,7 +92,7 @@
   }
 }
 
-/** Clients for the addresses given by `--admin` or the environment. */
+/** Creates a client for each address given by `--admin` or the environment. */
 export function createClients(
   io: CliIo,
   rawArgs: readonly string[],
--- a/packages/cli/src/admin_commands.ts
+++ b/packages/cli/src/admin_commands.ts
@@ -1,4 +1,4 @@
-/** Commands that show what VMs tell over their administration API. */
+/** Commands that query VMs over the administration API, or drain them. */
 
 import type {HistogramName} from '@radishyoke/core/metrics/metric_schema';
 import {HISTOGRAMS} from '@radishyoke/core/metrics/metric_schema';
@@ -10,19 +10,22 @@
 import {Cell, renderItems, renderTable} from './table.js';
 import {UsageError} from './usage_error.js';
 
-/** One run of a command. */
+/** The input and output of one run of a command. */
 export interface AdminRun {
   readonly io: CliIo;
   readonly rawArgs: readonly string[];
   readonly json: boolean;
 }
 
-/** What `radishyoke NAME` shows; each is a list in the answer of that name. */
+/**
+ * Commands that print a list, with their descriptions. The path of the call and
+ * the field of its answer have the same name as the command.
+ */
 export const LIST_COMMANDS = {
   vms: 'VMs of the service as this one sees them',
   endpoints: 'Endpoints with what this VM has in flight on them',
   steps: "Steps of the team's tenants",
-  queues: "Works of the team's tenants that wait or run on this VM",
+  queues: "Work items of the team's tenants that wait or run on this VM",
   leases: 'Leases and their holders',
 } as const;
 
@@ -34,7 +37,7 @@
   return failure.code;
 }
 
-/** Prints the answer as JSON or by `render`. */
+/** Prints the answer as JSON or as text made by `render`. */
 export function reportResult<T>(
   {io, json}: AdminRun,
   result: Result<T, AdminFailure>,
@@ -45,7 +48,7 @@
   return EXIT_CODES.ok;
 }
 
-/** Prints the status of each VM asked. */
+/** Prints the status of each VM given by `--admin`. */
 export async function runStatus(run: AdminRun): Promise<ExitCode> {
   return forEachClient(
     run,
@@ -68,7 +71,7 @@
   );
 }
 
-/** Prints one of the lists as the first VM asked tells it. */
+/** Prints the list `name`, queried from the first VM given by `--admin`. */
 export async function runList(
   run: AdminRun,
   name: ListCommand,
@@ -84,7 +87,7 @@
   );
 }
 
-/** Prints percentiles over all VMs asked; histograms are merged before. */
+/** Prints percentiles and counters, merged over all VMs given by `--admin`. */
 export async function runTop(run: AdminRun): Promise<ExitCode> {
   const merged = new MetricRegistry();
   return forEachClient(
@@ -102,7 +105,7 @@
   );
 }
 
-/** Takes a VM or an endpoint out of use on every VM asked. */
+/** Takes a VM or an endpoint out of use, on every VM given by `--admin`. */
 export async function runDrain(
   run: AdminRun,
   kind: string,
--- a/packages/cli/src/audit_command.ts
+++ b/packages/cli/src/audit_command.ts
@@ -1,4 +1,4 @@
-/** `radishyoke audit`: read, keep and check what the service did. */
+/** `radishyoke audit`: shows, exports and verifies the audit trail. */
 
 import {createReadStream} from 'node:fs';
 import {open} from 'node:fs/promises';
@@ -38,7 +38,7 @@
   }
 }
 
-/** Prints entries of the team, one JSON object a line. */
+/** Prints the team's audit entries, one JSON object per line. */
 async function show(run: AdminRun): Promise<ExitCode> {
   const subject = readOption(run.rawArgs, 'subject');
   return forEachEntry(run, 'audit', {subject}, ({record}) =>
@@ -100,7 +100,7 @@
   return client.get('audit', path, {...query, max: RECORDS_PER_CALL});
 }
 
-/** Checks an export; needs neither a VM nor the log. */
+/** Verifies an exported file offline, without a VM or the log. */
 async function verify(run: AdminRun, file: string): Promise<ExitCode> {
   const lines: string[] = [];
   const input = createInterface({input: createReadStream(file)});
--- a/packages/cli/src/check_command.ts
+++ b/packages/cli/src/check_command.ts
@@ -1,4 +1,4 @@
-/** `radishyoke check`: is a settings or rules file valid? */
+/** `radishyoke check`: validates a settings or rules file. */
 
 import {
   ConfigProblem,
@@ -12,7 +12,7 @@
   readonly json?: boolean;
 }
 
-/** Checks the file at `path` and reports each problem in it. */
+/** Validates the file at `path` and prints every problem in it. */
 export async function runCheck(
   io: CliIo,
   path: string,
@@ -29,7 +29,7 @@
   return EXIT_CODES.ok;
 }
 
-/** Prints `problems`, one line each or as JSON. */
+/** Prints `problems` as lines of text or as JSON, and returns the exit code. */
 export function reportProblems(
   io: CliIo,
   path: string,
--- a/packages/cli/src/cli.ts
+++ b/packages/cli/src/cli.ts
@@ -1,4 +1,4 @@
-/** The commands of `radishyoke`. Each returns the exit code of the process. */
+/** Defines the commands of `radishyoke`. Each returns the exit code of the process. */
 
 import {cac, CAC} from 'cac';
 import {ADMIN_VARIABLE} from './admin_client.js';
@@ -37,7 +37,7 @@
   token: ['hash'],
 };
 
-/** Runs the command that `args` (without node and script) names. */
+/** Runs the command named by `args`, the arguments without node and script. */
 export async function runCli(
   args: readonly string[],
   io: CliIo,
@@ -80,7 +80,7 @@
   cli
     .command('demo', 'Run three trainers and an app against stand-ins')
     .option('--hold', 'Keep the deployment open on port 7100, without trainers')
-    .option('--save <file>', 'Write the figures there, for report')
+    .option('--save <file>', 'Write the figures to this file, for report')
     .action(options =>
       runDemoCommand(Boolean(options.hold), readOption(args, 'save')),
     );
@@ -92,15 +92,15 @@
     .option('--json', 'Print JSON')
     .action((file, options) => runCheck(io, file, options));
   cli
-    .command('explain <rules>', 'Say which rule decides a request, and why')
+    .command('explain <rules>', 'Show which rule decides a request, and why')
     .option('--request <json>', 'The request as a JSON object, or:')
-    .option('--tenant <name>', 'Tenant that sends it')
+    .option('--tenant <name>', 'Tenant that sends the request')
     .option('--class <class>', 'interactive or rollout')
-    .option('--model <name>', 'Model that it names')
+    .option('--model <name>', 'Model that the request names')
     .option('--method <method>', 'HTTP method (default: GET)')
     .option('--path <path>', 'Path (default: /)')
     .option('--header <header>', '"name: value"; may be repeated')
-    .option('--data-centre <name>', 'Data centre of the VM that takes it')
+    .option('--data-centre <name>', 'Data centre of the VM that receives it')
     .option('--json', 'Print JSON')
     .example(
       'radishyoke explain examples/rules-kodkutu.ini --tenant lesson-app --method POST --path /orders',
@@ -112,7 +112,7 @@
   cli
     .command(
       'trace <id> [...files]',
-      'Tell the path of a request, item, batch or engine from logs',
+      'Show the path of a request, item, batch or engine from logs',
     )
     .option('--json', 'Print JSON lines')
     .example('radishyoke trace 9c41d07b vm-1.log vm-2.log')
@@ -130,7 +130,7 @@
     rawArgs: args,
     json: options.json ?? false,
   });
-  add('status', 'Status of each VM asked').action(options =>
+  add('status', 'Status of each VM given by --admin').action(options =>
     runStatus(toRun(options)),
   );
   for (const name of Object.keys(LIST_COMMANDS) as ListCommand[]) {
@@ -151,7 +151,10 @@
     )
     .option('--from <version>', 'diff: the older version')
     .option('--to <version>', 'diff: the newer version')
-    .option('--version-number <version>', 'show: another than in force')
+    .option(
+      '--version-number <version>',
+      'show: a version other than the current one',
+    )
     .action((action, file, options) => runRules(toRun(options), action, file));
   add(
     'report [file]',
@@ -160,13 +163,13 @@
     .option('--out <file>', 'The page to write')
     .action((file, options) => runReport(toRun(options), file));
   add('audit <action> [file]', `Audit: ${AUDIT_ACTIONS.join(', ')}`)
-    .option('--from <offset>', 'show, export: the first block wanted')
+    .option('--from <offset>', 'show, export: the first block to read')
     .option('--subject <name>', 'show: a request, step or rollout')
     .option('--out <file>', 'export: the file to write')
     .action((action, file, options) => runAudit(toRun(options), action, file));
   cli
     .command('token <action> <name>', 'token hash NAME: mint a token')
-    .option('--team <team>', 'Team that it acts for')
+    .option('--team <team>', 'Team that the token acts for')
     .option('--roles <roles>', 'read, publish, audit (default: read)')
     .option('--days <days>', 'Days until it expires (default: 90)')
     .action((action, name) => runToken(io, args, action, String(name)));
@@ -181,7 +184,7 @@
 }
 
 function isUsageError(err: unknown): err is Error {
-  // The option parser keeps its error class to itself.
+  // The option parser (cac) does not export its error class.
   return err instanceof Error && ['UsageError', 'CACError'].includes(err.name);
 }
 
--- a/packages/cli/src/cli_io.ts
+++ b/packages/cli/src/cli_io.ts
@@ -1,14 +1,14 @@
-/** What a command writes to and reads from; tests pass their own. */
+/** The streams and environment of a command, which tests replace. */
 
 export interface CliIo {
   readonly writeOut: (text: string) => void;
   readonly writeErr: (text: string) => void;
   readonly env: Readonly<Record<string, string | undefined>>;
-  /** Resolves to the whole standard input. */
+  /** Reads the standard input to its end. */
   readonly readIn: () => Promise<string>;
 }
 
-/** The streams of this process. */
+/** Returns the streams and environment of this process. */
 export function createProcessIo(): CliIo {
   return {
     writeOut: text => process.stdout.write(`${text}\n`),
--- a/packages/cli/src/completion_command.ts
+++ b/packages/cli/src/completion_command.ts
@@ -1,14 +1,14 @@
-/** `radishyoke completion`: a shell script that completes commands and options. */
+/** `radishyoke completion`: prints a shell script that completes commands and options. */
 
 import type {CAC} from 'cac';
 import type {CliIo} from './cli_io.js';
 import {EXIT_CODES, ExitCode} from './exit_code.js';
 import {UsageError} from './usage_error.js';
 
-/** What may follow a command's name. */
+/** The subcommands that may follow the name of a command. */
 export type Subcommands = Readonly<Record<string, readonly string[]>>;
 
-/** Prints the script for `shell`. */
+/** Prints the completion script for `shell`. */
 export function runCompletion(
   io: CliIo,
   cli: CAC,
--- a/packages/cli/src/config_file.ts
+++ b/packages/cli/src/config_file.ts
@@ -1,4 +1,4 @@
-/** Reads a file that holds either process settings or operators' rules. */
+/** Reads a file with either process settings or operators' rules. */
 
 import {readFile} from 'node:fs/promises';
 import type {ConfigProblem} from '@radishyoke/core/rules/config_problem';
@@ -14,7 +14,7 @@
 
 type Problems = readonly ConfigProblem[];
 
-/** Reads, recognises and checks the file at `path`. */
+/** Reads the file at `path`, detects its kind and validates it. */
 export async function readConfigFile(
   path: string,
 ): Promise<Result<ConfigFile, Problems>> {
@@ -38,7 +38,7 @@
   }
 }
 
-/** Reads the rules file at `path`; a settings file is a problem. */
+/** Reads and validates the rules file at `path`; a settings file is rejected. */
 export async function readRulesFile(
   path: string,
 ): Promise<
--- a/packages/cli/src/day_page.ts
+++ b/packages/cli/src/day_page.ts
@@ -1,4 +1,4 @@
-/** Renders a day's summary as an HTML page with drawings and nothing else. */
+/** Renders the summary of a day as an HTML page with static SVG drawings. */
 
 import type {
   DaySummary,
@@ -24,13 +24,13 @@
 const STYLE = `body{font:15px/1.5 system-ui,sans-serif;margin:2rem auto;max-width:70rem;padding:0 1rem}
 svg{display:block;margin:.5rem 0}text{font:11px system-ui,sans-serif}`;
 
-/** One line of a drawing: a label and its bars. */
+/** One row of a drawing: a label and its bars. */
 interface Row {
   readonly label: string;
   readonly bars: ReadonlyArray<TimeSpan & {readonly colour: string}>;
 }
 
-/** The whole page. A step is drawn as late if it took longer than `dueMs`. */
+/** Renders the page. A step is drawn as late if it took longer than `dueMs` or has not ended. */
 export function renderDay(
   title: string,
   day: DaySummary,
--- a/packages/cli/src/exit_code.ts
+++ b/packages/cli/src/exit_code.ts
@@ -1,4 +1,4 @@
-/** Exit codes of `radishyoke`; scripts rely on them. Listed by `--help`. */
+/** Exit codes of `radishyoke`, listed by `--help`. Scripts depend on them. */
 
 export const EXIT_CODES = {
   ok: 0,
@@ -14,7 +14,7 @@
 
 export type ExitCode = (typeof EXIT_CODES)[keyof typeof EXIT_CODES];
 
-/** What each code tells. */
+/** The meaning of each code, as `--help` prints it. */
 export const EXIT_CODE_TEXTS: Readonly<
   Record<keyof typeof EXIT_CODES, string>
 > = {
--- a/packages/cli/src/explain_command.ts
+++ b/packages/cli/src/explain_command.ts
@@ -1,4 +1,4 @@
-/** `radishyoke explain`: which rule decides a request, and why no earlier one. */
+/** `radishyoke explain`: shows which rule decides a request and why earlier ones do not match. */
 
 import {z} from 'zod';
 import type {RuleFacts, RuleAction} from '@radishyoke/core/rules/rule';
@@ -28,7 +28,7 @@
   dataCentre: z.string().default(''),
 });
 
-/** Explains the rules at `path` for the request that the arguments describe. */
+/** Explains how the rules file at `path` decides the request given by the arguments. */
 export async function runExplain(
   io: CliIo,
   path: string,
--- a/packages/cli/src/html_text.ts
+++ b/packages/cli/src/html_text.ts
@@ -1,4 +1,4 @@
-/** Text as it may stand in an HTML page. */
+/** Escapes text for HTML content and quoted attribute values. */
 
 export function escapeHtml(text: string): string {
   return text
--- a/packages/cli/src/keys_command.ts
+++ b/packages/cli/src/keys_command.ts
@@ -1,5 +1,5 @@
 /**
- * `radishyoke keys`: the reference of every key, in Markdown. The checked-in
+ * `radishyoke keys`: prints the reference of all configuration keys, in Markdown.
  * docs/CONFIGURATION.md is this output; a test compares the two.
  */
 
@@ -49,7 +49,7 @@
   return EXIT_CODES.ok;
 }
 
-/** Renders the whole page, without a line break at the end. */
+/** Renders the page, without a line break at the end. */
 export function renderReference(): string {
   const settings = Object.entries(SETTINGS_SPEC).map(([name, spec]) =>
     renderSection(name, spec),
--- a/packages/cli/src/main.ts
+++ b/packages/cli/src/main.ts
@@ -1,13 +1,13 @@
 #!/usr/bin/env node
-/** The `radishyoke` command. */
+/** Entry point of the `radishyoke` command. */
 
 import {captureSignals} from '@radishyoke/daemon/process_signals';
 
-// Only a VM drains; any other command is interrupted as usual.
+// Only `serve` handles signals, to drain; other commands end by them as usual.
 if (process.argv[2] === 'serve') captureSignals();
 const {runCli} = await import('./cli.js');
 const {createProcessIo} = await import('./cli_io.js');
 
-// The exit code is set rather than forced, so that what is written to a pipe
-// is not cut off.
+// `process.exit` could cut off output that is still being written to a pipe, so
+// only the exit code is set.
 process.exitCode = await runCli(process.argv.slice(2), createProcessIo());
--- a/packages/cli/src/raw_option.ts
+++ b/packages/cli/src/raw_option.ts
@@ -1,12 +1,12 @@
 /**
- * Reads options as text from the raw arguments. The option parser turns values
- * that look like numbers into numbers, so that a model `4.0` would become `4`
- * and match another rule.
+ * Reads options as text from the raw arguments. The option parser converts values
+ * that look like numbers, so a model named `4.0` would become `4` and match
+ * another rule.
  */
 
 import {UsageError} from './usage_error.js';
 
-/** All values of `--name`, in order. */
+/** Returns all values of `--name`, in order. */
 export function readOptions(
   rawArgs: readonly string[],
   name: string,
@@ -22,7 +22,7 @@
   return values;
 }
 
-/** The one value of `--name`, or undefined. */
+/** Returns the value of `--name`, or undefined; the option may be given only once. */
 export function readOption(
   rawArgs: readonly string[],
   name: string,
@@ -32,7 +32,7 @@
   return values[0];
 }
 
-/** The one value of `--name`, which must be there. */
+/** Returns the value of the required option `--name`. */
 export function requireOption(
   rawArgs: readonly string[],
   name: string,
--- a/packages/cli/src/report_command.ts
+++ b/packages/cli/src/report_command.ts
@@ -1,7 +1,7 @@
 /**
- * `radishyoke report`: a run as an HTML page. The run is a file of JSON lines,
- * such as the output of `demo` or `measure`, or the VMs that are asked. Logs of
- * VMs make the page of a day.
+ * `radishyoke report`: writes an HTML page. It shows a run, read from a file of
+ * JSON lines such as the output of `demo` or `measure`; a day, read from logs of
+ * VMs; or, without a file, the current figures of running VMs.
  */
 
 import {readFile, writeFile} from 'node:fs/promises';
@@ -19,16 +19,16 @@
 import {StepTimeline, stepTimelineSchema} from './step_timeline.js';
 import {UsageError} from './usage_error.js';
 
-/** A step that took longer is drawn as late, ms: what the users' routes give a step. */
+/** A step that took longer is drawn as late, ms; the users' routes give a step this long. */
 const DUE_MS = 7500;
 
-/** A line may carry the histograms of the run beside its figures. */
+/** A line of a run: its figures, and optionally its histograms and step timelines. */
 const runLineSchema = z.looseObject({
   metrics: ADMIN_ANSWERS.histograms.optional(),
   timelines: z.array(stepTimelineSchema).optional(),
 });
 
-/** Writes the page for `file`, or for the VMs given when there is none. */
+/** Writes the page for `file`, or for the VMs given by `--admin` if there is no file. */
 export async function runReport(
   run: AdminRun,
   file: string | undefined,
@@ -41,7 +41,7 @@
   return EXIT_CODES.ok;
 }
 
-/** The page of a file: a day if it holds logs, or else a run. */
+/** Renders the page of a file: a day if it contains logs of VMs, otherwise a run. */
 async function readPage(file: string): Promise<string> {
   const text = await readFile(file, 'utf8');
   const day = summarizeDay(parseTraceLines(text));
@@ -87,7 +87,7 @@
   if (!merged.ok) throw new UsageError(merged.error.detail);
 }
 
-/** Lines that are no JSON are what programs print for people. */
+/** Returns undefined for a line that is not JSON, which programs print for people. */
 function parseJson(line: string): unknown {
   try {
     return JSON.parse(line);
--- a/packages/cli/src/report_page.ts
+++ b/packages/cli/src/report_page.ts
@@ -1,4 +1,4 @@
-/** Renders one run as an HTML page that needs nothing but itself. */
+/** Renders one run as a self-contained HTML page. */
 
 import {readFileSync} from 'node:fs';
 import {createRequire} from 'node:module';
@@ -10,21 +10,21 @@
   MetricRegistry,
 } from '@radishyoke/core/metrics/metrics';
 
-/** What a page shows. */
+/** The content of a page. */
 export interface RunReport {
   readonly title: string;
-  /** Figures of the run, as its JSON gives them. */
+  /** Figures of the run, one object per JSON line. */
   readonly figures: ReadonlyArray<Readonly<Record<string, unknown>>>;
   readonly metrics: MetricRegistry;
   readonly timelines: readonly StepTimeline[];
 }
 
-/** One plot: a line for each tenant and class over the percentiles. */
+/** Data of one plot: percentiles of a histogram, one line per tenant and work class. */
 interface Plot {
   readonly title: string;
   readonly unit: string;
   readonly names: readonly string[];
-  /** The x values, then the y values of each line. */
+  /** The x values, followed by the y values of each line. */
   readonly data: ReadonlyArray<readonly number[]>;
 }
 
@@ -42,8 +42,8 @@
 table{border-collapse:collapse;margin:1rem 0}td,th{border:1px solid #ccc;padding:.2rem .6rem;text-align:left}
 .plots{display:flex;flex-wrap:wrap;gap:2rem}`;
 
-// The lines' places are spread evenly: the tail, where percentiles lie close
-// together, is what the page is read for.
+// The x axis gives each percentile the same distance: on a linear scale the tail,
+// which matters most, would be squeezed together.
 const SCRIPT = `for (const plot of plots) {
   const target = document.querySelector('.plots').appendChild(document.createElement('div'));
   new uPlot({
@@ -68,7 +68,7 @@
     ...timeline.names.map((label, i) => ({label, stroke: colours[i % colours.length], width: 2}))],
 }, timeline.data, document.querySelector('.timeline'));`;
 
-/** The whole page. */
+/** Renders the page. */
 export function renderReport(report: RunReport): string {
   const {title, figures, metrics, timelines} = report;
   const timeline = createTimelinePlot(timelines);
@@ -148,7 +148,7 @@
   return readFileSync(path, 'utf8');
 }
 
-/** A literal that can not end the script it stands in. */
+/** Encodes `value` as a JavaScript literal that can not close the surrounding script element. */
 function toScriptLiteral(value: unknown): string {
   return JSON.stringify(value).replaceAll('<', '\\u003c');
 }
--- a/packages/cli/src/rules_command.ts
+++ b/packages/cli/src/rules_command.ts
@@ -1,4 +1,4 @@
-/** `radishyoke rules`: publish, try out, compare and list operators' rules. */
+/** `radishyoke rules`: publishes, dry-runs, compares and lists operators' rules. */
 
 import {reportProblems} from './check_command.js';
 import {AdminRun, reportFailure, reportResult} from './admin_commands.js';
@@ -17,6 +17,7 @@
   'show',
 ] as const;
 
+/** Value of `basedOn` for rules that are not based on a published version. */
 const NO_VERSION = -1;
 
 /** Runs `radishyoke rules ACTION [FILE]`. */
@@ -60,7 +61,7 @@
   );
 }
 
-/** The version given by `--based-on`, or else the one in force. */
+/** Returns the version given by `--based-on`, or else the current one. */
 async function findBaseVersion(
   run: AdminRun,
   client: AdminClient,
--- a/packages/cli/src/step_timeline.ts
+++ b/packages/cli/src/step_timeline.ts
@@ -1,29 +1,29 @@
-/** How the rollouts of each step came in over a run, as lines of one plot. */
+/** Plots how many rollouts of each step had arrived over the time of a run. */
 
 import {z} from 'zod';
 
-/** One step as its trainer saw it. Times are ms from the start of the run. */
+/** One step as its trainer observed it. Times are in ms since the start of the run. */
 export const stepTimelineSchema = z.object({
   tenant: z.string(),
   step: z.string(),
   openedMs: z.number(),
-  /** When each rollout came, in order. */
+  /** Arrival time of each rollout, ascending. */
   arrivalsMs: z.array(z.number()),
 });
 
 export type StepTimeline = z.infer<typeof stepTimelineSchema>;
 
-/** Seconds of the run, then a line for each step. */
+/** Data of one plot: `data` holds the x values in seconds, then one line per step. */
 export interface TimelinePlot {
   readonly names: readonly string[];
   readonly data: ReadonlyArray<ReadonlyArray<number | null>>;
 }
 
-/** Points along the time axis. */
+/** Number of intervals on the time axis. */
 const intervalCount = 200;
 const msPerSecond = 1000;
 
-/** Counts what each step had received at each point; nothing outside the step. */
+/** Counts the rollouts that each step had received at each time; null outside the step. */
 export function createTimelinePlot(
   timelines: readonly StepTimeline[],
 ): TimelinePlot {
--- a/packages/cli/src/table.ts
+++ b/packages/cli/src/table.ts
@@ -1,10 +1,10 @@
-/** Renders rows as a table for people. */
+/** Renders rows as a table of plain text. */
 
 export type Cell = string | number | boolean | null;
 
 const GAP = '  ';
 
-/** One line a row under a heading; numbers stand to the right. */
+/** Renders a heading and one line per row; columns of numbers are right-aligned. */
 export function renderTable(
   headings: readonly string[],
   rows: ReadonlyArray<readonly Cell[]>,
@@ -28,7 +28,7 @@
   return [headings, ...texts].map(renderLine).join('\n');
 }
 
-/** A table of all fields of `items`, in the order of the first one's keys. */
+/** Renders all fields of `items` as a table, in the key order of the first item. */
 export function renderItems(
   items: ReadonlyArray<Readonly<Record<string, Cell>>>,
 ): string {
--- a/packages/cli/src/token_command.ts
+++ b/packages/cli/src/token_command.ts
@@ -1,4 +1,4 @@
-/** `radishyoke token hash`: mints a token and the section that admits it. */
+/** `radishyoke token hash`: mints a token and prints the settings section that admits it. */
 
 import {hashToken, mintToken} from '@radishyoke/daemon/admin/admin_token';
 import {ROLES} from '@radishyoke/daemon/settings/settings_schema';
--- a/packages/cli/src/trace_command.ts
+++ b/packages/cli/src/trace_command.ts
@@ -1,4 +1,4 @@
-/** `radishyoke trace`: the path of a request, item, batch or engine from logs. */
+/** `radishyoke trace`: extracts the path of a request, item, batch or engine from logs. */
 
 import {readFile} from 'node:fs/promises';
 import {
@@ -16,8 +16,8 @@
 }
 
 /**
- * Prints the path of `id` through the logs in `files`, one of each VM or many in
- * one, or through the standard input when there is none.
+ * Prints the log lines that belong to `id`. The logs are read from `files`, each
+ * with the lines of one or more VMs, or from the standard input if there are none.
  */
 export async function runTrace(
   io: CliIo,
@@ -61,7 +61,7 @@
   return {atMs, role, vm, event, ...fields};
 }
 
-/** One line a step; times from the first line that names the subject, s. */
+/** Renders one line per log line; times are in s since the first one that names the id. */
 function renderPath(path: readonly TraceEntry[]): string {
   const originMs = path.find(({role}) => role !== 'context')!.atMs;
   return renderTable(
--- a/packages/cli/src/usage_error.ts
+++ b/packages/cli/src/usage_error.ts
@@ -1,4 +1,4 @@
-/** The command line can not be understood; ends with the exit code for usage. */
+/** Thrown for an invalid command line; the process ends with the exit code for usage. */
 export class UsageError extends Error {
   override readonly name = 'UsageError';
 }
