--- a/packages/bench/src/delivery_audit.ts
+++ b/packages/bench/src/delivery_audit.ts
@@ -4,7 +4,7 @@
  */
 
 import type {FakeEngine} from '@radishyoke/fakes/fake_engine';
-import type {EngineRun} from '@radishyoke/fakes/engine_books';
+import type {EngineRun} from '@radishyoke/fakes/run_history';
 import type {Rollout, TokenSpan} from '@radishyoke/shared/rollout';
 
 /** One rollout as a trainer took it. */
--- a/packages/bench/src/demo_deployment.ts
+++ b/packages/bench/src/demo_deployment.ts
@@ -14,7 +14,7 @@
 } from '@radishyoke/daemon/settings/settings';
 import {Vm} from '@radishyoke/daemon/vm';
 import {
-  publishFirstRules,
+  publishInitialConfig,
   StandIns,
   startStandIns,
 } from '@radishyoke/fakes/stand_ins';
@@ -57,7 +57,7 @@
     this.standIns = await startDemoStandIns();
     this.standIns.weightStore.publish(demoModel, 1);
     const rules = await readExample('rules-kodkutu.ini');
-    publishFirstRules(this.standIns, team, rules);
+    publishInitialConfig(this.standIns, team, rules);
     const text = await readExample('settings.ini');
     const parsed = parseSettings(text, 'examples/settings.ini');
     if (!parsed.ok) throw new Error(JSON.stringify(parsed.error));
--- a/packages/bench/src/overhead_worker.ts
+++ b/packages/bench/src/overhead_worker.ts
@@ -4,7 +4,7 @@
 import {silentLogger} from '@radishyoke/daemon/logger';
 import {parseSettings} from '@radishyoke/daemon/settings/settings';
 import {Vm} from '@radishyoke/daemon/vm';
-import {publishFirstRules, startStandIns} from '@radishyoke/fakes/stand_ins';
+import {publishInitialConfig, startStandIns} from '@radishyoke/fakes/stand_ins';
 import {toDataCentreId, toEndpointId} from '@radishyoke/shared/ids';
 import {createPassThrough} from './overhead.js';
 
@@ -34,7 +34,7 @@
     state: 'live',
     checksFencing: false,
   });
-  publishFirstRules(standIns, 'apps', rules);
+  publishInitialConfig(standIns, 'apps', rules);
   const parsed = parseSettings(
     `[vm]
 id = entry-1
--- a/packages/bench/src/slopes_peers.ts
+++ b/packages/bench/src/slopes_peers.ts
@@ -69,11 +69,11 @@
 /** From the first VM that knows a config offset to the last. */
 function* measureConfigSpread(vms: number): Generator<Slope> {
   const network = createNetwork(vms);
-  network.silenceSome(20);
+  network.silenceConnections(20);
   const traffic = watchTraffic(network);
   const [reader] = network.nodes;
   reader.configNext = 1;
-  network.give(reader, {kind: 'config_offset', next: 1});
+  network.handleEvent(reader, {kind: 'config_offset', next: 1});
   const ms = countMsUntil(network, () =>
     network.nodes.every(node => node.configNext === 1),
   );
@@ -86,7 +86,7 @@
 function* measureFailure(vms: number): Generator<Slope> {
   const network = createNetwork(vms);
   const dead = network.nodes[1];
-  dead.up = false;
+  dead.isUp = false;
   const ms = countMsUntil(network, () =>
     network.nodes.every(
       node => node === dead || !node.vms.includes(dead.vm.id),
@@ -99,7 +99,7 @@
 function* measureCut(vms: number): Generator<Slope> {
   const network = createNetwork(vms);
   const inside = (vm: VmInfo) => CUT_OFF.has(vm.dataCentre);
-  network.reachable = (a, b) => inside(a) === inside(b);
+  network.canReach = (a, b) => inside(a) === inside(b);
   const seenMs = countMsUntil(network, () =>
     network.nodes.every(node => {
       const side = network.nodes.filter(n => inside(n.vm) === inside(node.vm));
@@ -107,7 +107,7 @@
     }),
   );
   yield createSlope(`cut_seen_ms_${vms}`, seenMs, 'ms');
-  network.reachable = () => true;
+  network.canReach = () => true;
   const healedMs = countMsUntil(network, () =>
     network.nodes.every(node => node.vms.length === vms),
   );
@@ -129,14 +129,14 @@
         e < CHANGES_PER_SECOND ? 1 + round + e : 5,
       ]),
     );
-    network.give(node, {kind: 'own_load', inFlight});
+    network.handleEvent(node, {kind: 'own_load', inFlight});
   }
 }
 
 /** Runs every message through the codec and counts. */
 function watchTraffic(network: MembershipNetwork) {
   const traffic = {messages: 0, bytes: 0, configBytes: 0};
-  network.observe = message => {
+  network.onMessage = message => {
     const data = encodePeerMessage(message);
     if (!decodePeerMessage(data).ok) throw new Error('undecodable message');
     traffic.messages++;
--- a/packages/bench/src/steps_world.ts
+++ b/packages/bench/src/steps_world.ts
@@ -6,7 +6,7 @@
 
 import {DEFAULT_ENGINE_OPTIONS} from '@radishyoke/fakes/engine_options';
 import {EngineModel} from '@radishyoke/fakes/engine_model';
-import {drawOutputTokens} from '@radishyoke/fakes/output_length';
+import {pickOutputTokens} from '@radishyoke/fakes/output_length';
 import {
   createRandomBits,
   pickRandomBelow,
@@ -463,7 +463,7 @@
   private drawServiceMs(): number {
     const {median, sigma} = WORKLOAD.appServiceMs;
     const distribution = {medianTokens: median, sigma};
-    return drawOutputTokens(this.random(), distribution);
+    return pickOutputTokens(this.random(), distribution);
   }
 
   private drawSilentFromMs(): number {
@@ -510,7 +510,7 @@
   const {decodeBaseMs, decodeSlopeMs, prefillMsPerToken} =
     DEFAULT_ENGINE_OPTIONS;
   const lengths = seeds.map(({seed, maxTokens}) =>
-    Math.min(maxTokens, drawOutputTokens(seed, WORKLOAD.length)),
+    Math.min(maxTokens, pickOutputTokens(seed, WORKLOAD.length)),
   );
   const aloneMsPerToken = decodeBaseMs + decodeSlopeMs;
   return {
--- a/packages/cli/src/__tests__/serve_signals.spec.ts
+++ b/packages/cli/src/__tests__/serve_signals.spec.ts
@@ -2,7 +2,7 @@
 import {fileURLToPath} from 'node:url';
 import test, {type ExecutionContext} from 'ava';
 import {NamedPipe} from '@radishyoke/fakes/named_pipe';
-import {createLoneVmSettings} from '@radishyoke/fakes/vm_settings';
+import {createSingleVmSettings} from '@radishyoke/fakes/vm_settings';
 
 const MAIN = fileURLToPath(new URL('../main.js', import.meta.url));
 
@@ -35,9 +35,9 @@
   const {pipe, child, ended, waitForText} = startServe(t);
   const write = await pipe.waitForReader();
   child.kill('SIGHUP');
-  write(createLoneVmSettings());
+  write(createSingleVmSettings());
   const writeAgain = await pipe.waitForReader();
-  writeAgain(createLoneVmSettings({notice: '2ms'}));
+  writeAgain(createSingleVmSettings({notice: '2ms'}));
   t.regex(await waitForText('settings reloaded'), /wait for the next start/);
   child.kill('SIGTERM');
   t.is(await ended, 0);
@@ -48,7 +48,7 @@
 test('a draining VM is not ended by another SIGTERM or SIGINT', async t => {
   const {pipe, child, ended, waitForText} = startServe(t);
   const write = await pipe.waitForReader();
-  write(createLoneVmSettings({notice: '300ms'}));
+  write(createSingleVmSettings({notice: '300ms'}));
   await waitForText('VM ready for callers');
   child.kill('SIGTERM');
   await waitForText('draining');
--- a/packages/core/src/membership/__tests__/membership.spec.ts
+++ b/packages/core/src/membership/__tests__/membership.spec.ts
@@ -12,7 +12,7 @@
 const FAILURE_BOUND_MS = 9000;
 
 function seesAll(network: MembershipNetwork, node: Node): boolean {
-  return node.vms.length === network.nodes.filter(n => n.up).length;
+  return node.vms.length === network.nodes.filter(n => n.isUp).length;
 }
 
 function countMsUntil(
@@ -27,9 +27,11 @@
 
 /** Returns the most messages per second that any VM sends without faults. */
 function measureMessageRate(network: MembershipNetwork): number {
-  const before = network.nodes.map(node => node.sent);
+  const before = network.nodes.map(node => node.sentCount);
   network.run(2000);
-  return Math.max(...network.nodes.map((n, i) => (n.sent - before[i]) / 2));
+  return Math.max(
+    ...network.nodes.map((n, i) => (n.sentCount - before[i]) / 2),
+  );
 }
 
 // Guards against a VM that never applies a new configuration because its log
@@ -45,10 +47,10 @@
     const network = new MembershipNetwork({vms: size, dataCentres, seed: SEED});
     network.run(SETTLE_MS);
     t.true(measureMessageRate(network) <= MAX_MESSAGES_PER_SECOND);
-    network.silenceSome(20);
+    network.silenceConnections(20);
     const reader = network.nodes[5];
     reader.configNext = 8;
-    network.give(reader, {kind: 'config_offset', next: 8});
+    network.handleEvent(reader, {kind: 'config_offset', next: 8});
     const tookMs = countMsUntil(network, CONFIG_BOUND_MS, () =>
       network.nodes.every(node => node.configNext === 8),
     );
@@ -93,11 +95,11 @@
         applyFault(network, network.nodes[vm], kind, forMs);
         network.run(forMs / 2);
       }
-      network.reachable = () => true;
+      network.canReach = () => true;
       // All pauses are over by then, and one failed VM is probed every two
       // seconds.
       network.run(25_000);
-      const live = network.nodes.filter(node => node.up);
+      const live = network.nodes.filter(node => node.isUp);
       const serving = live.filter(
         node => node.machine.listMembers()[0].state === 'alive',
       );
@@ -121,20 +123,20 @@
       node.pausedUntilMs = network.nowMs + forMs;
       return;
     case 'crash':
-      node.up = false;
+      node.isUp = false;
       return;
     case 'restart':
       return network.restart(node);
     case 'cut': {
       const {dataCentre} = node.vm;
-      network.reachable = (a, b) =>
+      network.canReach = (a, b) =>
         (a.dataCentre === dataCentre) === (b.dataCentre === dataCentre);
       return;
     }
     case 'silence':
-      return network.silenceSome(30);
+      return network.silenceConnections(30);
     case 'leave':
-      return network.give(node, {kind: 'leave'});
+      return network.handleEvent(node, {kind: 'leave'});
   }
 }
 
@@ -144,8 +146,8 @@
 test('a dead VM is failed everywhere within seconds at 360 VMs', t => {
   const network = new MembershipNetwork({vms: 360, dataCentres: 9, seed: SEED});
   network.run(SETTLE_MS);
-  network.nodes[77].up = false;
-  const live = network.nodes.filter(node => node.up);
+  network.nodes[77].isUp = false;
+  const live = network.nodes.filter(node => node.isUp);
   countMsUntil(network, FAILURE_BOUND_MS, () =>
     live.every(node => seesAll(network, node)),
   );
@@ -161,18 +163,18 @@
 test('silent connections make no VM fail', t => {
   const network = new MembershipNetwork({vms: 13, dataCentres: 3, seed: SEED});
   network.run(SETTLE_MS);
-  network.silenceSome(50);
+  network.silenceConnections(50);
   const sizes = new Set<number>();
   for (let i = 0; i < 100; i++) {
     network.run(100);
     for (const node of network.nodes) sizes.add(node.vms.length);
   }
   t.deepEqual([...sizes], [13]);
-  t.is(network.silent.size, 0);
+  t.is(network.silentConnections.size, 0);
 });
 
 function findLastLoad(node: Node, reporter: Node): unknown {
-  return node.told
+  return node.otherActions
     .filter(a => a.kind === 'peer_load' && a.vm === reporter.vm.id)
     .at(-1);
 }
@@ -183,18 +185,20 @@
   const [reporter, ...others] = network.nodes;
   const endpoint = 'worker-3' as EndpointId;
   const inFlight = new Map([[endpoint, 7]]);
-  network.give(reporter, {kind: 'own_load', inFlight});
-  network.give(reporter, {kind: 'own_suspects', fingerprints: ['f1']});
-  network.give(reporter, {kind: 'own_silent_endpoint', endpoint});
+  network.handleEvent(reporter, {kind: 'own_load', inFlight});
+  network.handleEvent(reporter, {kind: 'own_suspects', fingerprints: ['f1']});
+  network.handleEvent(reporter, {kind: 'own_silent_endpoint', endpoint});
   network.run(3000);
   const listReceivers = (kind: string) =>
-    others.filter(node => node.told.some(action => action.kind === kind));
+    others.filter(node =>
+      node.otherActions.some(action => action.kind === kind),
+    );
   t.is(listReceivers('suspects').length, 12);
   t.is(listReceivers('silent_endpoint').length, 12);
   const loads = others.map(node => findLastLoad(node, reporter));
   const expected = {kind: 'peer_load', vm: reporter.vm.id, inFlight};
   for (const load of loads) t.deepEqual(load as unknown, expected);
-  reporter.up = false;
+  reporter.isUp = false;
   network.run(FAILURE_BOUND_MS);
   for (const node of others) {
     const last = findLastLoad(node, reporter);
--- a/packages/core/src/simulation/log_schedule.ts
+++ b/packages/core/src/simulation/log_schedule.ts
@@ -7,10 +7,10 @@
 import type {ConfigRecord, StateRecord} from '@radishyoke/shared/log_record';
 import {ConfigHistory, NO_VERSION} from '../rules/config_history.js';
 import {TEAM, TENANT, STEP} from './log_fixtures.js';
-import {type AppendFate, ScheduleLog} from './schedule_log.js';
+import {type AppendOutcome, ScheduleLog} from './schedule_log.js';
 import {
   createFold,
-  type Handover,
+  type SampleDelivery,
   type MissingGuard,
   ScheduleVm,
   type ScheduleWorld,
@@ -22,9 +22,9 @@
 const VM_NAMES = ['a', 'b', 'c'] as const;
 const SAMPLES = 4;
 const REQUESTS = 3;
-const CALM_ROUNDS = 40;
-const CALM_ROUND_MS = 1500;
-const FATES: readonly AppendFate[] = [
+const FAULT_FREE_ROUNDS = 40;
+const FAULT_FREE_ROUND_MS = 1500;
+const APPEND_OUTCOMES: readonly AppendOutcome[] = [
   'answered',
   'answered',
   'answered',
@@ -36,25 +36,26 @@
 /** The trainer's side as docs/design/ledger.md asks for it. */
 class ScheduleTrainer {
   readonly received = new Map<number, string>();
-  readonly broken: string[] = [];
+  readonly violations: string[] = [];
   cursor = 0;
   private highestFencing = -1;
 
   constructor(private readonly guard: MissingGuard) {}
 
   /** Takes an owner's number; false when a newer owner was seen. */
-  admit(fencing: number): boolean {
+  admitOwner(fencing: number): boolean {
     if (this.guard === 'trainer_fencing') return true;
     if (fencing < this.highestFencing) return false;
     this.highestFencing = fencing;
     return true;
   }
 
-  take({fencing, cursor, sample, text}: Handover): void {
-    if (!this.admit(fencing)) return;
+  receive({fencing, cursor, sample, text}: SampleDelivery): void {
+    if (!this.admitOwner(fencing)) return;
     if (cursor <= this.cursor && this.guard !== 'trainer_cursor') return;
     this.cursor = Math.max(this.cursor, cursor);
-    if (this.received.has(sample)) this.broken.push(`doubled sample ${sample}`);
+    if (this.received.has(sample))
+      this.violations.push(`doubled sample ${sample}`);
     this.received.set(sample, text);
   }
 }
@@ -64,22 +65,22 @@
   private readonly world: ScheduleWorld;
   private readonly vms: ScheduleVm[];
   private readonly trainer: ScheduleTrainer;
-  private readonly inFlight: Handover[] = [];
-  private readonly broken: string[] = [];
-  private readonly inForce = new Map<string, number>();
-  private connected: number | undefined;
-  private outage = false;
+  private readonly inFlight: SampleDelivery[] = [];
+  private readonly violations: string[] = [];
+  private readonly currentVersions = new Map<string, number>();
+  private connectedIndex: number | undefined;
+  private isOutage = false;
   private restarts = 0;
 
   constructor(guard: MissingGuard) {
     this.world = {
       state: new ScheduleLog<StateRecord>(),
       config: new ScheduleLog<ConfigRecord>(),
-      samples: SAMPLES,
+      sampleCount: SAMPLES,
       guard,
       nowMs: 1_000_000,
-      runs: new Map(),
-      toldFailed: new Set(),
+      runCounts: new Map(),
+      reportedFailed: new Set(),
     };
     this.vms = VM_NAMES.map(name => this.createVm(name));
     this.trainer = new ScheduleTrainer(guard);
@@ -87,8 +88,8 @@
   }
 
   apply([code, arg]: ScheduleOp): void {
-    const slot = arg % VM_NAMES.length;
-    const vm = this.vms[slot]!;
+    const index = arg % VM_NAMES.length;
+    const vm = this.vms[index]!;
     const detail = Math.floor(arg / VM_NAMES.length);
     const isVmOp = code >= 6;
     if (isVmOp && vm.paused) return;
@@ -100,23 +101,27 @@
         vm.paused = !vm.paused;
         break;
       case 2:
-        if (detail % 4 === 0) this.restart(slot);
+        if (detail % 4 === 0) this.restart(index);
         break;
       case 3:
-        this.outage = detail % 3 === 0;
+        this.isOutage = detail % 3 === 0;
         break;
       case 4:
-        if (!this.outage) this.world.state.deliverDelayed(this.world.nowMs);
-        if (!this.outage) this.world.config.deliverDelayed(this.world.nowMs);
+        if (!this.isOutage) this.world.state.deliverDelayed(this.world.nowMs);
+        if (!this.isOutage) this.world.config.deliverDelayed(this.world.nowMs);
         break;
       case 5:
         this.dropExpired();
         break;
       case 6:
-        if (!this.outage) this.read(slot, 1 + (detail % 16));
+        if (!this.isOutage) this.read(index, 1 + (detail % 16));
         break;
       case 7:
-        vm.flush(this.outage ? 'refused' : FATES[detail % FATES.length]!);
+        vm.flush(
+          this.isOutage
+            ? 'refused'
+            : APPEND_OUTCOMES[detail % APPEND_OUTCOMES.length]!,
+        );
         break;
       case 8:
         if (vm.ready) vm.claim();
@@ -128,16 +133,16 @@
         vm.generate(detail % SAMPLES);
         break;
       case 11:
-        this.inFlight.push(...vm.handOver());
+        this.inFlight.push(...vm.sendSamples());
         break;
       case 12:
         this.deliver(detail);
         break;
       case 13:
-        this.connect(slot);
+        this.connect(index);
         break;
       case 14:
-        if (this.connected === slot) vm.acknowledge(this.trainer.cursor);
+        if (this.connectedIndex === index) vm.acknowledge(this.trainer.cursor);
         break;
       case 15:
         if (vm.ready) vm.publish();
@@ -149,31 +154,31 @@
         if (vm.ready && detail % 4 === 0) vm.checkpoint();
         break;
       default:
-        this.work(slot, detail);
+        this.runUsualCycle(index, detail);
     }
   }
 
   /** A VM's ordinary turn, of which `choice` leaves parts out. */
-  private work(slot: number, choice: number): void {
-    const vm = this.vms[slot]!;
-    const takes = (part: number) => (choice >> part) % 2 === 0;
-    if (this.outage) return;
-    this.read(slot, Infinity);
-    if (!takes(0)) this.connect(slot);
+  private runUsualCycle(index: number, choice: number): void {
+    const vm = this.vms[index]!;
+    const isIncluded = (part: number) => (choice >> part) % 2 === 0;
+    if (this.isOutage) return;
+    this.read(index, Infinity);
+    if (!isIncluded(0)) this.connect(index);
     if (vm.step?.closed === undefined) vm.claim();
-    if (takes(1) && vm.fencing !== undefined) vm.renew();
-    if (takes(2)) vm.generate(choice % SAMPLES);
-    if (takes(3)) this.inFlight.push(...vm.handOver());
-    if (takes(4)) vm.flush('answered');
-    if (takes(5)) this.read(slot, Infinity);
+    if (isIncluded(1) && vm.fencing !== undefined) vm.renew();
+    if (isIncluded(2)) vm.generate(choice % SAMPLES);
+    if (isIncluded(3)) this.inFlight.push(...vm.sendSamples());
+    if (isIncluded(4)) vm.flush('answered');
+    if (isIncluded(5)) this.read(index, Infinity);
   }
 
   /** Ends all faults, lets the VMs finish, and names the broken promises. */
   finish(): readonly string[] {
-    this.outage = false;
+    this.isOutage = false;
     for (const vm of this.vms) vm.paused = false;
-    for (let round = 0; round < CALM_ROUNDS; round++) {
-      this.runCalmRound();
+    for (let round = 0; round < FAULT_FREE_ROUNDS; round++) {
+      this.runFaultFreeRound();
       if (this.vms.every(vm => vm.step?.closed !== undefined)) break;
     }
     this.settleAll();
@@ -181,35 +186,36 @@
     this.checkRequests();
     this.checkConfig();
     this.checkFolds();
-    return [...this.broken, ...this.trainer.broken];
+    return [...this.violations, ...this.trainer.violations];
   }
 
   private createVm(name: string): ScheduleVm {
     return new ScheduleVm(this.world, name, `i${this.restarts}`);
   }
 
-  private restart(slot: number): void {
+  private restart(index: number): void {
     this.restarts++;
-    this.vms[slot] = this.createVm(VM_NAMES[slot]!);
-    if (this.connected === slot) this.connected = undefined;
+    this.vms[index] = this.createVm(VM_NAMES[index]!);
+    if (this.connectedIndex === index) this.connectedIndex = undefined;
   }
 
-  private read(slot: number, max: number): void {
-    const vm = this.vms[slot]!;
+  private read(index: number, max: number): void {
+    const vm = this.vms[index]!;
     vm.read(max);
     if (!vm.ready) return;
-    const name = VM_NAMES[slot]!;
+    const name = VM_NAMES[index]!;
     const version = vm.config.current(TEAM)?.version ?? NO_VERSION;
-    const before = this.inForce.get(name) ?? NO_VERSION;
-    if (version < before) this.broken.push(`${name} reverted to ${version}`);
-    this.inForce.set(name, version);
+    const before = this.currentVersions.get(name) ?? NO_VERSION;
+    if (version < before)
+      this.violations.push(`${name} reverted to ${version}`);
+    this.currentVersions.set(name, version);
   }
 
-  private connect(slot: number): void {
-    const vm = this.vms[slot]!;
+  private connect(index: number): void {
+    const vm = this.vms[index]!;
     const fencing = vm.connect(this.trainer.cursor);
-    if (fencing !== undefined && this.trainer.admit(fencing)) {
-      this.connected = slot;
+    if (fencing !== undefined && this.trainer.admitOwner(fencing)) {
+      this.connectedIndex = index;
     }
   }
 
@@ -219,7 +225,7 @@
     const fencing = owners[choice % Math.max(1, owners.length)];
     const index = this.inFlight.findIndex(m => m.fencing === fencing);
     const [message] = index < 0 ? [] : this.inFlight.splice(index, 1);
-    if (message !== undefined) this.trainer.take(message);
+    if (message !== undefined) this.trainer.receive(message);
   }
 
   /** Retention: what the last whole checkpoint covers may go. */
@@ -235,35 +241,35 @@
     }
   }
 
-  private runCalmRound(): void {
-    this.world.nowMs += CALM_ROUND_MS;
+  private runFaultFreeRound(): void {
+    this.world.nowMs += FAULT_FREE_ROUND_MS;
     while (this.world.state.hasDelayed || this.world.config.hasDelayed) {
       this.world.state.deliverDelayed(this.world.nowMs);
       this.world.config.deliverDelayed(this.world.nowMs);
     }
-    this.vms.forEach((vm, slot) => {
-      this.read(slot, Infinity);
+    this.vms.forEach((vm, index) => {
+      this.read(index, Infinity);
       if (vm.step === undefined) vm.openStep();
       else if (vm.step.closed === undefined) vm.claim();
       if (vm.fencing !== undefined) vm.renew();
-      this.runCalmOwner(vm, slot);
+      this.runFaultFreeOwner(vm, index);
       vm.flush('answered');
-      this.read(slot, Infinity);
+      this.read(index, Infinity);
     });
   }
 
-  private runCalmOwner(vm: ScheduleVm, slot: number): void {
+  private runFaultFreeOwner(vm: ScheduleVm, index: number): void {
     if (vm.validFencing === undefined) return;
-    this.connect(slot);
+    this.connect(index);
     for (let sample = 0; sample < SAMPLES; sample++) vm.generate(sample);
-    this.inFlight.push(...vm.handOver());
+    this.inFlight.push(...vm.sendSamples());
     while (this.inFlight.length > 0) this.deliver(0);
-    if (this.connected === slot) vm.acknowledge(this.trainer.cursor);
+    if (this.connectedIndex === index) vm.acknowledge(this.trainer.cursor);
   }
 
   private settleAll(): void {
     for (const vm of this.vms) vm.flush('answered');
-    this.vms.forEach((_, slot) => this.read(slot, Infinity));
+    this.vms.forEach((_, index) => this.read(index, Infinity));
   }
 
   private checkTrainer(): void {
@@ -271,16 +277,16 @@
     for (let sample = 0; sample < SAMPLES; sample++) {
       const text = this.trainer.received.get(sample);
       const winner = step?.findCommitted(0, sample);
-      if (text === undefined) this.broken.push(`lost sample ${sample}`);
+      if (text === undefined) this.violations.push(`lost sample ${sample}`);
       else if (text !== winner?.digest) {
-        this.broken.push(`sample ${sample} is not the ledger's`);
+        this.violations.push(`sample ${sample} is not the ledger's`);
       }
     }
   }
 
   private checkRequests(): void {
-    for (const [req, runs] of this.world.runs) {
-      if (runs > 1) this.broken.push(`${req} ran ${runs} times`);
+    for (const [req, runs] of this.world.runCounts) {
+      if (runs > 1) this.violations.push(`${req} ran ${runs} times`);
     }
   }
 
@@ -293,14 +299,14 @@
         accepted.add(record.value.text);
       }
     }
-    for (const text of this.world.toldFailed) {
+    for (const text of this.world.reportedFailed) {
       if (accepted.has(text))
-        this.broken.push(`${text} failed and is in force`);
+        this.violations.push(`${text} failed and is in force`);
     }
     for (const vm of this.vms) {
-      const same =
+      const isSame =
         vm.config.current(TEAM)?.version === history.current(TEAM)?.version;
-      if (!same) this.broken.push('VMs differ on the configuration');
+      if (!isSame) this.violations.push('VMs differ on the configuration');
     }
   }
 
@@ -314,17 +320,19 @@
       const {value} = record;
       if (value.kind === 'lease_claimed') owner = verdict.fencing ?? owner;
       if ('fencing' in value && value.fencing !== owner) {
-        this.broken.push(`record ${record.offset} of a former owner counts`);
+        this.violations.push(
+          `record ${record.offset} of a former owner counts`,
+        );
       }
     }
     const expected = fold.toSnapshot();
     for (const vm of this.vms) {
       if (!isDeepStrictEqual(vm.fold.toSnapshot(), expected)) {
-        this.broken.push('VMs differ on the state');
+        this.violations.push('VMs differ on the state');
       }
     }
     if (fold.findStep(TENANT, STEP)?.closed === undefined) {
-      this.broken.push('the step never closed');
+      this.violations.push('the step never closed');
     }
   }
 }
--- a/packages/core/src/simulation/membership_network.ts
+++ b/packages/core/src/simulation/membership_network.ts
@@ -37,14 +37,14 @@
 export interface Node {
   readonly vm: VmInfo;
   machine: Membership;
-  up: boolean;
+  isUp: boolean;
   pausedUntilMs: number;
   /** Deliveries that wait for the end of a pause. */
-  readonly held: MembershipEvent[];
+  readonly queuedEvents: MembershipEvent[];
   configNext: number;
   vms: readonly VmId[];
-  readonly told: MembershipAction[];
-  sent: number;
+  readonly otherActions: MembershipAction[];
+  sentCount: number;
 }
 
 export interface NetworkOptions {
@@ -59,11 +59,11 @@
   nowMs = 1_000_000;
   readonly nodes: readonly Node[];
   /** Directed pairs whose open connection went silent; a new one works. */
-  readonly silent = new Set<string>();
+  readonly silentConnections = new Set<string>();
   /** Whether two VMs can reach one another at all. */
-  reachable: (a: VmInfo, b: VmInfo) => boolean = () => true;
+  canReach: (a: VmInfo, b: VmInfo) => boolean = () => true;
   /** Called with each message that is sent. */
-  observe: (message: GossipMessage) => void = () => undefined;
+  onMessage: (message: GossipMessage) => void = () => undefined;
   private readonly random: RandomBits;
   private readonly byId: ReadonlyMap<VmId, Node>;
   private queue: Delivery[][] = [];
@@ -73,7 +73,8 @@
     const vms = Array.from({length: options.vms}, (_, i) => this.createVm(i));
     this.nodes = vms.map(vm => this.createNode(vm));
     this.byId = new Map(this.nodes.map(node => [node.vm.id, node]));
-    for (const node of this.nodes) this.give(node, {kind: 'vm_list', vms});
+    for (const node of this.nodes)
+      this.handleEvent(node, {kind: 'vm_list', vms});
   }
 
   run(durationMs: number): void {
@@ -81,26 +82,26 @@
     for (; this.nowMs < endMs; this.nowMs++) this.runMillisecond();
   }
 
-  give(node: Node, event: MembershipEvent): void {
-    if (!node.up) return;
+  handleEvent(node: Node, event: MembershipEvent): void {
+    if (!node.isUp) return;
     const actions = node.machine.handle(event, this.nowMs);
     for (const action of actions) this.perform(node, action);
   }
 
   restart(node: Node): void {
     node.machine = this.createMachine(node.vm);
-    node.up = true;
+    node.isUp = true;
     node.configNext = 0;
     const vms = this.nodes.map(other => other.vm);
-    this.give(node, {kind: 'vm_list', vms});
+    this.handleEvent(node, {kind: 'vm_list', vms});
   }
 
   /** Makes this share of the open connections silent, one way. */
-  silenceSome(percent: number): void {
+  silenceConnections(percent: number): void {
     for (const a of this.nodes) {
       for (const b of a.machine.listNeighbours()) {
         if (pickRandomBelow(this.random, 100) < percent)
-          this.silent.add(`${a.vm.id}>${b}`);
+          this.silentConnections.add(`${a.vm.id}>${b}`);
       }
     }
   }
@@ -112,19 +113,20 @@
       for (const {to, event} of due) this.deliver(this.byId.get(to)!, event);
     }
     for (let i = this.nowMs % TICK_MS; i < this.nodes.length; i += TICK_MS) {
-      this.wake(this.nodes[i]);
+      this.deliverQueuedEvents(this.nodes[i]);
       this.deliver(this.nodes[i], {kind: 'tick'});
     }
   }
 
-  private wake(node: Node): void {
+  private deliverQueuedEvents(node: Node): void {
     if (this.nowMs < node.pausedUntilMs) return;
-    for (const event of node.held.splice(0)) this.give(node, event);
+    for (const event of node.queuedEvents.splice(0))
+      this.handleEvent(node, event);
   }
 
   private deliver(node: Node, event: MembershipEvent): void {
-    if (this.nowMs >= node.pausedUntilMs) return this.give(node, event);
-    if (event.kind !== 'tick') node.held.push(event);
+    if (this.nowMs >= node.pausedUntilMs) return this.handleEvent(node, event);
+    if (event.kind !== 'tick') node.queuedEvents.push(event);
   }
 
   private perform(node: Node, action: MembershipAction): void {
@@ -132,8 +134,8 @@
       case 'send':
         return this.send(node, action.to, action.message);
       case 'relink':
-        this.silent.delete(`${node.vm.id}>${action.vm}`);
-        this.silent.delete(`${action.vm}>${node.vm.id}`);
+        this.silentConnections.delete(`${node.vm.id}>${action.vm}`);
+        this.silentConnections.delete(`${action.vm}>${node.vm.id}`);
         return;
       case 'vms':
         node.vms = action.vms;
@@ -141,29 +143,29 @@
       case 'serve_config': {
         const {to} = action;
         const transfer = createTransfer(node.configNext);
-        return this.give(node, {kind: 'config_read', to, transfer});
+        return this.handleEvent(node, {kind: 'config_read', to, transfer});
       }
       case 'config_transfer': {
         const next = readTransfer(action.transfer);
         if (next <= node.configNext) return;
         node.configNext = next;
-        return this.give(node, {kind: 'config_offset', next});
+        return this.handleEvent(node, {kind: 'config_offset', next});
       }
       default:
-        node.told.push(action);
+        node.otherActions.push(action);
     }
   }
 
   private send(from: Node, to: VmId, message: GossipMessage): void {
-    from.sent++;
-    this.observe(message);
+    from.sentCount++;
+    this.onMessage(message);
     const target = this.byId.get(to)!;
-    if (!this.reachable(from.vm, target.vm)) return;
-    if (this.silent.has(`${from.vm.id}>${to}`)) return;
+    if (!this.canReach(from.vm, target.vm)) return;
+    if (this.silentConnections.has(`${from.vm.id}>${to}`)) return;
     if (pickRandomBelow(this.random, 100) < (this.options.lossPercent ?? 0))
       return;
-    const far = from.vm.dataCentre !== target.vm.dataCentre;
-    const delayMs = 1 + pickRandomBelow(this.random, far ? 40 : 3);
+    const isRemote = from.vm.dataCentre !== target.vm.dataCentre;
+    const delayMs = 1 + pickRandomBelow(this.random, isRemote ? 40 : 3);
     const slot = (this.nowMs + delayMs) % this.queue.length;
     const atMs = this.nowMs + delayMs;
     const event = {kind: 'message', from: from.vm.id, message} as const;
@@ -200,13 +202,13 @@
     return {
       vm,
       machine: this.createMachine(vm),
-      up: true,
+      isUp: true,
       pausedUntilMs: 0,
-      held: [],
+      queuedEvents: [],
       configNext: 0,
       vms: [],
-      told: [],
-      sent: 0,
+      otherActions: [],
+      sentCount: 0,
     };
   }
 }
--- a/packages/core/src/simulation/schedule_log.ts
+++ b/packages/core/src/simulation/schedule_log.ts
@@ -3,7 +3,7 @@
 import type {LoggedRecord, Stamp} from '@radishyoke/shared/log_record';
 
 /** What a schedule lets happen to one append. */
-export type AppendFate =
+export type AppendOutcome =
   | 'answered'
   /** Takes effect; the writer hears nothing. */
   | 'answer_lost'
@@ -29,14 +29,14 @@
   }
 
   /** Sends an append on its way; returns whether the writer hears that it stands. */
-  send(values: readonly T[], fate: AppendFate, timeMs: number): boolean {
-    if (fate === 'refused') return false;
-    if (fate === 'delayed') {
+  send(values: readonly T[], outcome: AppendOutcome, timeMs: number): boolean {
+    if (outcome === 'refused') return false;
+    if (outcome === 'delayed') {
       this.delayed.push([...values]);
       return false;
     }
     this.append(values, timeMs);
-    return fate === 'answered';
+    return outcome === 'answered';
   }
 
   /** Lets a delayed append take effect. */
@@ -55,31 +55,32 @@
  * unsettled records are sent again under their old numbers.
  */
 export class ScheduleWriter<T extends Stamped> {
-  readonly pending: Array<{readonly value: T; standing: boolean}> = [];
+  readonly pending: Array<{readonly value: T; isAcknowledged: boolean}> = [];
   private seq = 0;
 
   /** `forgetsLost` takes a lost answer for a failure: the fault to be caught. */
   constructor(
     private readonly log: ScheduleLog<T>,
     private readonly stamp: Omit<Stamp, 'seq'>,
-    private readonly forgetsLost: boolean,
+    private readonly dropsUnacknowledged: boolean,
   ) {}
 
   push(body: object): T {
     const stamp = {...this.stamp, seq: ++this.seq};
     const value = {...body, stamp} as unknown as T;
-    this.pending.push({value, standing: false});
+    this.pending.push({value, isAcknowledged: false});
     return value;
   }
 
   /** Sends what waits; returns the records that it gives up as failed. */
-  flush(fate: AppendFate, timeMs: number): readonly T[] {
-    const batch = this.pending.filter(entry => !entry.standing);
+  flush(outcome: AppendOutcome, timeMs: number): readonly T[] {
+    const batch = this.pending.filter(entry => !entry.isAcknowledged);
     if (batch.length === 0) return [];
     const values = batch.map(entry => entry.value);
-    const answered = this.log.send(values, fate, timeMs);
-    if (answered) for (const entry of batch) entry.standing = true;
-    if (answered || fate === 'refused' || !this.forgetsLost) return [];
+    const isAcknowledged = this.log.send(values, outcome, timeMs);
+    if (isAcknowledged) for (const entry of batch) entry.isAcknowledged = true;
+    if (isAcknowledged || outcome === 'refused' || !this.dropsUnacknowledged)
+      return [];
     this.pending.length = 0;
     return values;
   }
@@ -87,7 +88,7 @@
   settle(stamp: Stamp): void {
     const {vm, incarnation} = this.stamp;
     if (stamp.vm !== vm || stamp.incarnation !== incarnation) return;
-    const kept = this.pending.filter(e => e.value.stamp.seq > stamp.seq);
-    this.pending.splice(0, this.pending.length, ...kept);
+    const remaining = this.pending.filter(e => e.value.stamp.seq > stamp.seq);
+    this.pending.splice(0, this.pending.length, ...remaining);
   }
 }
--- a/packages/core/src/simulation/schedule_vm.ts
+++ b/packages/core/src/simulation/schedule_vm.ts
@@ -39,7 +39,7 @@
   | 'carried_claims';
 
 /** What a VM sends to the trainer: one rollout. */
-export interface Handover {
+export interface SampleDelivery {
   readonly fencing: number;
   readonly cursor: number;
   readonly sample: number;
@@ -50,13 +50,13 @@
 export interface ScheduleWorld {
   readonly state: ScheduleLog<StateRecord>;
   readonly config: ScheduleLog<ConfigRecord>;
-  readonly samples: number;
+  readonly sampleCount: number;
   readonly guard: MissingGuard;
   nowMs: number;
   /** Times that each request id was run. */
-  readonly runs: Map<string, number>;
+  readonly runCounts: Map<string, number>;
   /** Texts of publications whose operator was told that they failed. */
-  readonly toldFailed: Set<string>;
+  readonly reportedFailed: Set<string>;
 }
 
 /** Builds a fold; without fencing when that is the guard left out. */
@@ -81,12 +81,13 @@
   ready = false;
   readonly stateWriter: ScheduleWriter<StateRecord>;
   private readonly configWriter: ScheduleWriter<ConfigRecord>;
-  private readonly texts = new Map<string, string>();
+  private readonly generatedTexts = new Map<string, string>();
   private validUntilMs = 0;
   /** When each renewal was handed to the writer, by its number. */
-  private readonly renewals = new Map<number, number>();
+  private readonly renewalSentAtMs = new Map<number, number>();
   /** Set while the trainer is connected: its cursor, under which number. */
-  private link: {readonly fencing: number; sent: number} | undefined;
+  private trainerLink:
+    {readonly fencing: number; sentCursor: number} | undefined;
   private publications = 0;
   private attempts = 0;
 
@@ -99,10 +100,18 @@
       vm: toVmId(name),
       incarnation: toIncarnationId(incarnation),
     };
-    const forgets = world.guard === 'lost_answer';
+    const dropsUnacknowledged = world.guard === 'lost_answer';
     this.fold = createFold(world.guard);
-    this.stateWriter = new ScheduleWriter(world.state, stamp, forgets);
-    this.configWriter = new ScheduleWriter(world.config, stamp, forgets);
+    this.stateWriter = new ScheduleWriter(
+      world.state,
+      stamp,
+      dropsUnacknowledged,
+    );
+    this.configWriter = new ScheduleWriter(
+      world.config,
+      stamp,
+      dropsUnacknowledged,
+    );
   }
 
   /** Fencing number under which the log names this VM the owner. */
@@ -126,18 +135,18 @@
       this.config.next === this.world.config.records.length;
   }
 
-  flush(fate: Parameters<ScheduleWriter<StateRecord>['flush']>[0]): void {
-    this.stateWriter.flush(fate, this.world.nowMs);
-    const failed = this.configWriter.flush(fate, this.world.nowMs);
+  flush(outcome: Parameters<ScheduleWriter<StateRecord>['flush']>[0]): void {
+    this.stateWriter.flush(outcome, this.world.nowMs);
+    const failed = this.configWriter.flush(outcome, this.world.nowMs);
     for (const value of failed) {
       if (value.kind === 'config_published') {
-        this.world.toldFailed.add(value.text);
+        this.world.reportedFailed.add(value.text);
       }
     }
   }
 
   openStep(): void {
-    this.stateWriter.push(openStep(this.world.samples));
+    this.stateWriter.push(openStep(this.world.sampleCount));
   }
 
   renew(): void {
@@ -145,14 +154,14 @@
       kind: 'session',
       ttlMs: SESSION_TTL_MS,
     });
-    this.renewals.set(stamp.seq, this.world.nowMs);
+    this.renewalSentAtMs.set(stamp.seq, this.world.nowMs);
   }
 
   claim(): void {
     const lease = this.fold.leases.find(LEASE);
-    const held =
+    const isHeld =
       lease !== undefined && this.fold.leases.isHeld(lease, this.world.nowMs);
-    if (held) return;
+    if (isHeld) return;
     this.renew();
     this.stateWriter.push({kind: 'lease_claimed', lease: LEASE});
   }
@@ -184,10 +193,10 @@
     if (fencing === undefined || step === undefined) return;
     if (step.findCommitted(0, sample) !== undefined) return;
     const text = `${this.name}/${this.incarnation}/${++this.attempts}`;
-    this.texts.set(text, text);
+    this.generatedTexts.set(text, text);
     this.stateWriter.push({
       kind: 'samples_committed',
-      ...this.owner(fencing),
+      ...this.createOwnerFields(fencing),
       samples: [
         {
           group: 0,
@@ -205,7 +214,7 @@
   connect(cursor: number): number | undefined {
     const fencing = this.validFencing;
     if (fencing === undefined) return undefined;
-    this.link = {fencing, sent: cursor};
+    this.trainerLink = {fencing, sentCursor: cursor};
     this.acknowledge(cursor);
     return fencing;
   }
@@ -215,7 +224,7 @@
     if (fencing === undefined) return;
     this.stateWriter.push({
       kind: 'cursor_acknowledged',
-      ...this.owner(fencing),
+      ...this.createOwnerFields(fencing),
       cursor,
       weightVersion: 1,
     });
@@ -223,33 +232,33 @@
   }
 
   /** Hands over the next winners, in the order of their cursors. */
-  handOver(): readonly Handover[] {
-    const {link} = this;
+  sendSamples(): readonly SampleDelivery[] {
+    const {trainerLink} = this;
     const fencing = this.validFencing;
-    if (link === undefined || fencing === undefined) return [];
-    if (fencing !== link.fencing) return [];
-    const out: Handover[] = [];
+    if (trainerLink === undefined || fencing === undefined) return [];
+    if (fencing !== trainerLink.fencing) return [];
+    const deliveries: SampleDelivery[] = [];
     for (const winner of this.step?.listCommitted() ?? []) {
-      if (winner.cursor <= link.sent) continue;
-      const text = this.texts.get(winner.digest);
+      if (winner.cursor <= trainerLink.sentCursor) continue;
+      const text = this.generatedTexts.get(winner.digest);
       if (text === undefined) {
         this.voidWinner(fencing, winner);
         break;
       }
-      link.sent = winner.cursor;
+      trainerLink.sentCursor = winner.cursor;
       const {cursor, sample} = winner;
-      out.push({fencing, cursor, sample, text});
+      deliveries.push({fencing, cursor, sample, text});
     }
-    return out;
+    return deliveries;
   }
 
   checkpoint(): void {
     const snapshot = this.fold.toSnapshot();
-    const carried =
+    const written =
       this.world.guard === 'carried_claims'
         ? {...snapshot, claims: []}
         : snapshot;
-    for (const part of splitCheckpoint(snapshot.next, carried)) {
+    for (const part of splitCheckpoint(snapshot.next, written)) {
       this.stateWriter.push(part);
     }
   }
@@ -258,7 +267,7 @@
     return this.fold.findStep(TENANT, STEP);
   }
 
-  private owner(fencing: number) {
+  private createOwnerFields(fencing: number) {
     return {tenant: TENANT, step: STEP, fencing};
   }
 
@@ -266,7 +275,7 @@
     const cursors = [winner.cursor];
     this.stateWriter.push({
       kind: 'samples_voided',
-      ...this.owner(fencing),
+      ...this.createOwnerFields(fencing),
       cursors,
     });
   }
@@ -276,7 +285,7 @@
     if (step === undefined || step.committedCount < step.sampleCount) return;
     this.stateWriter.push({
       kind: 'step_closed',
-      ...this.owner(fencing),
+      ...this.createOwnerFields(fencing),
       reason: 'complete',
     });
   }
@@ -301,20 +310,20 @@
     const {value} = record;
     const verdict = this.fold.apply(record);
     if (verdict.kind === 'void' && verdict.reason === 'copy') return;
-    const own =
+    const isOwn =
       value.stamp.vm === this.name &&
       value.stamp.incarnation === this.incarnation;
-    if (!own) return;
+    if (!isOwn) return;
     this.stateWriter.settle(value.stamp);
     if (value.kind === 'session') this.confirmSession(value.stamp.seq);
     if (value.kind === 'request_claimed' && verdict.kind === 'accepted') {
-      const {runs} = this.world;
-      runs.set(value.req, (runs.get(value.req) ?? 0) + 1);
+      const {runCounts} = this.world;
+      runCounts.set(value.req, (runCounts.get(value.req) ?? 0) + 1);
     }
   }
 
   private confirmSession(seq: number): void {
-    const sentAtMs = this.renewals.get(seq) ?? 0;
+    const sentAtMs = this.renewalSentAtMs.get(seq) ?? 0;
     const untilMs = sentAtMs + SESSION_TTL_MS * LOCAL_VALIDITY_SHARE;
     this.validUntilMs = Math.max(this.validUntilMs, untilMs);
   }
--- a/packages/daemon/src/__tests__/deployment_fixture.ts
+++ b/packages/daemon/src/__tests__/deployment_fixture.ts
@@ -2,7 +2,7 @@
 
 import {TrainerClient} from '@radishyoke/client/trainer_client';
 import {
-  publishFirstRules,
+  publishInitialConfig,
   StandIns,
   startStandIns,
 } from '@radishyoke/fakes/stand_ins';
@@ -112,7 +112,7 @@
     serviceTimeMs: 5,
   });
   standIns.weightStore.publish('drafts', 1);
-  publishFirstRules(standIns, 'growers', rules);
+  publishInitialConfig(standIns, 'growers', rules);
   const vms: Vm[] = [];
   const origins: string[] = [];
   const addVm = async () => {
--- a/packages/daemon/src/__tests__/serve.spec.ts
+++ b/packages/daemon/src/__tests__/serve.spec.ts
@@ -3,7 +3,7 @@
 import {tmpdir} from 'node:os';
 import path from 'node:path';
 import test from 'ava';
-import {createLoneVmSettings} from '@radishyoke/fakes/vm_settings';
+import {createSingleVmSettings} from '@radishyoke/fakes/vm_settings';
 import {runServe} from '../serve.js';
 
 async function listenSomewhere(): Promise<net.Server> {
@@ -25,7 +25,7 @@
   const file = path.join(dir, 'settings.ini');
   await writeFile(
     file,
-    createLoneVmSettings({adminAddress: `127.0.0.1:${port}`}),
+    createSingleVmSettings({adminAddress: `127.0.0.1:${port}`}),
   );
   t.is(await runServe(file), 1);
 });
@@ -34,6 +34,6 @@
   const dir = await mkdtemp(path.join(tmpdir(), 'radishyoke-serve-'));
   t.teardown(() => rm(dir, {recursive: true}));
   const file = path.join(dir, 'settings.ini');
-  await writeFile(file, createLoneVmSettings({adminAddress: 'nowhere'}));
+  await writeFile(file, createSingleVmSettings({adminAddress: 'nowhere'}));
   t.is(await runServe(file), 3);
 });
--- a/packages/fakes/src/__tests__/engine_contract.ts
+++ b/packages/fakes/src/__tests__/engine_contract.ts
@@ -2,7 +2,7 @@
 
 import {loadReportSchema} from '@radishyoke/shared/endpoint';
 import test, {ExecutionContext} from 'ava';
-import type {RunEnd} from '../engine_books.js';
+import type {RunEnd} from '../run_history.js';
 import type {
   EngineFault,
   FakeEngine,
@@ -13,7 +13,7 @@
 
 const SEED = 7;
 const TOKENS = 40;
-const HASTY_MS = 150;
+const SHORT_TIMEOUT_MS = 150;
 
 /** Starts an engine; those under test differ in how they are run. */
 export type StartEngine = (options: FakeEngineOptions) => Promise<FakeEngine>;
@@ -24,7 +24,7 @@
   readonly options?: FakeEngineOptions;
   readonly prompt?: string;
   /** Whether the caller gives up early, as nothing comes. */
-  readonly isHasty?: boolean;
+  readonly hasShortTimeout?: boolean;
   /** Undefined when no answer begins. */
   readonly status?: number;
   readonly done: boolean;
@@ -52,7 +52,7 @@
   {
     name: 'silent connections',
     fault: {kind: 'silent', connections: 'all'},
-    isHasty: true,
+    hasShortTimeout: true,
     done: false,
   },
   {
@@ -95,7 +95,7 @@
       if (c.fault) engine.faults.set(c.fault);
       const received = await complete(url, 'a', {
         prompt: c.prompt,
-        ...(c.isHasty ? {timeoutMs: HASTY_MS} : {}),
+        ...(c.hasShortTimeout ? {timeoutMs: SHORT_TIMEOUT_MS} : {}),
       });
       t.is(received?.status, c.status);
       t.is(received?.done ?? false, c.done);
@@ -125,7 +125,7 @@
     engine.faults.set({kind: 'hang'});
     const read = complete(url, 'a');
     await waitUntil(() => engine.listRuns().length === 1);
-    await new Promise(resolve => setTimeout(resolve, HASTY_MS));
+    await new Promise(resolve => setTimeout(resolve, SHORT_TIMEOUT_MS));
     t.deepEqual(engine.listRuns()[0].spans, []);
     engine.faults.clear();
     t.true((await read)?.done);
--- a/packages/fakes/src/__tests__/engine_model.spec.ts
+++ b/packages/fakes/src/__tests__/engine_model.spec.ts
@@ -158,14 +158,14 @@
     t.is(status.lastError !== null, c.name.startsWith('the swap'));
   });
 
-type Step =
+type ModelAction =
   | {readonly kind: 'submit'; readonly req: number; readonly poison: boolean}
   | {readonly kind: 'cancel'; readonly req: number}
   | {readonly kind: 'order'; readonly version: number}
   | {readonly kind: 'crash' | 'hang' | 'go_on'};
 
 const reqArb = fc.nat(40);
-const stepArb: fc.Arbitrary<Step> = fc.oneof(
+const actionArb: fc.Arbitrary<ModelAction> = fc.oneof(
   {
     weight: 6,
     arbitrary: fc.record({
@@ -179,13 +179,13 @@
   fc.record({kind: fc.constantFrom('crash', 'hang', 'go_on')}),
 );
 
-const scheduleArb = fc.array(fc.tuple(fc.nat(400), stepArb), {maxLength: 60});
-type Schedule = ReadonlyArray<readonly [delayMs: number, step: Step]>;
+const scheduleArb = fc.array(fc.tuple(fc.nat(400), actionArb), {maxLength: 60});
+type Schedule = ReadonlyArray<readonly [delayMs: number, step: ModelAction]>;
 
 const END_MS = 10_000_000;
 
 /** Plays a schedule; `advance` decides how finely time moves between steps. */
-function play(
+function runActions(
   schedule: Schedule,
   advance: (model: EngineModel, untilMs: number) => readonly EngineEvent[],
 ) {
@@ -196,28 +196,32 @@
   });
   const events: EngineEvent[] = [];
   let nowMs = 0;
-  for (const [delayMs, step] of schedule) {
+  for (const [delayMs, action] of schedule) {
     nowMs += delayMs;
     events.push(...advance(model, nowMs));
-    takeStep(model, step, nowMs);
+    applyAction(model, action, nowMs);
   }
   model.setHung(false, nowMs);
   events.push(...advance(model, END_MS));
   return {events, runs: model.listRuns(), running: model.reportLoad(END_MS)};
 }
 
-function takeStep(model: EngineModel, step: Step, nowMs: number): void {
-  switch (step.kind) {
+function applyAction(
+  model: EngineModel,
+  action: ModelAction,
+  nowMs: number,
+): void {
+  switch (action.kind) {
     case 'submit': {
-      const {req, poison} = step;
+      const {req, poison} = action;
       model.submit(createRequest(`r${req}`, {seed: req, poison}), nowMs);
       return;
     }
     case 'cancel':
-      model.cancel(`r${step.req}`, nowMs);
+      model.cancel(`r${action.req}`, nowMs);
       return;
     case 'order': {
-      const {version} = step;
+      const {version} = action;
       model.order({kind: 'load_version', fencing: 1, version}, nowMs);
       return;
     }
@@ -225,15 +229,17 @@
       return model.crash(nowMs);
     case 'hang':
     case 'go_on':
-      return model.setHung(step.kind === 'hang', nowMs);
+      return model.setHung(action.kind === 'hang', nowMs);
   }
 }
 
 test('events do not depend on how finely time is advanced', t => {
   fc.assert(
     fc.property(scheduleArb, schedule => {
-      const coarse = play(schedule, (model, untilMs) => model.advance(untilMs));
-      const fine = play(schedule, run);
+      const coarse = runActions(schedule, (model, untilMs) =>
+        model.advance(untilMs),
+      );
+      const fine = runActions(schedule, run);
       t.deepEqual(coarse.events, fine.events);
       t.deepEqual(coarse.runs, fine.runs);
     }),
@@ -244,12 +250,12 @@
 test('the books hold each token that was streamed, and each run ends once', t => {
   fc.assert(
     fc.property(scheduleArb, schedule => {
-      const {events, runs, running} = play(schedule, run);
+      const {events, runs, running} = runActions(schedule, run);
       t.like(running, {running: 0, waiting: 0, waitingPromptTokens: 0});
       t.true(runs.every(r => r.end !== undefined));
       const streamed = collectSpans(events);
-      const booked = runs.map(r => ({id: r.requestId, spans: r.spans}));
-      const withTokens = booked.filter(r => r.spans.length > 0);
+      const recorded = runs.map(r => ({id: r.requestId, spans: r.spans}));
+      const withTokens = recorded.filter(r => r.spans.length > 0);
       t.deepEqual(sortRuns(streamed), sortRuns(withTokens));
       const finishes = events.filter(e => e.kind === 'chunk' && e.finishReason);
       t.is(finishes.length, runs.filter(r => r.end === 'finished').length);
--- a/packages/fakes/src/completion_request.ts
+++ b/packages/fakes/src/completion_request.ts
@@ -28,11 +28,11 @@
 export function decodeCompletion(body: JsonObject): EngineRequest {
   const id = readId(body);
   const {prompt} = body;
-  if (typeof prompt !== 'string') throw refuse('prompt');
-  if (body.stream !== true) throw refuse('stream');
+  if (typeof prompt !== 'string') throw createBadField('prompt');
+  if (body.stream !== true) throw createBadField('stream');
   return {
     id,
-    seed: body.seed === undefined ? seedFrom(id) : readCount(body, 'seed'),
+    seed: body.seed === undefined ? deriveSeed(id) : readCount(body, 'seed'),
     maxTokens: readCount(body, 'max_tokens'),
     resumeTokens: readResumeTokens(body.resume),
     promptTokens: countPromptTokens(prompt),
@@ -49,7 +49,7 @@
     return {fencing, kind, version: readCount(body, 'version')};
   if (kind === 'load_model' || kind === 'load_adapter' || kind === 'set_role')
     return {fencing, kind};
-  throw refuse('kind');
+  throw createBadField('kind');
 }
 
 export function decodeKvState(id: string, bytes: Buffer): KvState {
@@ -57,9 +57,9 @@
   try {
     state = JSON.parse(bytes.toString('utf8'));
   } catch {
-    throw refuse('kv');
+    throw createBadField('kv');
   }
-  if (typeof state !== 'object' || state === null) throw refuse('kv');
+  if (typeof state !== 'object' || state === null) throw createBadField('kv');
   const promptTokens = readCount(state as JsonObject, 'promptTokens');
   const outputTokens = readCount(state as JsonObject, 'outputTokens');
   return {id, promptTokens, outputTokens};
@@ -68,25 +68,26 @@
 function readId(body: JsonObject): string {
   const id = body.request_id;
   if (typeof id !== 'string' || id === '' || id.length > MAX_ID_CHARS)
-    throw refuse('request_id');
+    throw createBadField('request_id');
   return id;
 }
 
 function readResumeTokens(resume: unknown): number {
   if (resume === undefined || resume === null) return 0;
-  if (typeof resume !== 'object') throw refuse('resume');
+  if (typeof resume !== 'object') throw createBadField('resume');
   const {text} = resume as JsonObject;
-  if (typeof text !== 'string') throw refuse('resume');
+  if (typeof text !== 'string') throw createBadField('resume');
   return readCount(resume as JsonObject, 'tokens');
 }
 
 function readCount(body: JsonObject, key: string): number {
   const value = body[key];
-  if (!Number.isSafeInteger(value) || (value as number) < 0) throw refuse(key);
+  if (!Number.isSafeInteger(value) || (value as number) < 0)
+    throw createBadField(key);
   return value as number;
 }
 
-function seedFrom(id: string): number {
+function deriveSeed(id: string): number {
   return parseInt(hash(id).slice(0, 8), 16);
 }
 
@@ -94,6 +95,6 @@
   return createHash('sha256').update(text).digest('hex').slice(0, DIGEST_CHARS);
 }
 
-function refuse(field: string): HttpFailure {
+function createBadField(field: string): HttpFailure {
   return new HttpFailure(400, {error: `bad_${field}`});
 }
--- a/packages/fakes/src/engine_model.ts
+++ b/packages/fakes/src/engine_model.ts
@@ -8,7 +8,7 @@
  * swaps and crashes happen, between turns.
  */
 
-import {EngineBooks, EngineRun} from './engine_books.js';
+import {RunHistory, EngineRun} from './run_history.js';
 import type {
   EngineEvent,
   EngineOrder,
@@ -28,17 +28,17 @@
 const MAX_IMPORTED_STATES = 1000;
 const SWEEP_EVERY_MS = 1000;
 
-interface Turn {
+interface Iteration {
   readonly endsAtMs: number;
   readonly decoding: readonly EngineStream[];
 }
 
 export class EngineModel {
   private readonly options: EngineOptions;
-  private readonly books: EngineBooks;
+  private readonly runHistory: RunHistory;
   private readonly cache: PrefixCache;
   private readonly loader: WeightLoader;
-  private readonly history: LoadHistory;
+  private readonly loadHistory: LoadHistory;
   private readonly streams = new Map<string, EngineStream>();
   private readonly running = new Set<EngineStream>();
   private readonly waiting = new Set<EngineStream>();
@@ -46,14 +46,14 @@
   private waitingPromptTokens = 0;
   private readonly imported = new Map<string, KvState>();
   private events: EngineEvent[] = [];
-  private turn: Turn | undefined;
+  private iteration: Iteration | undefined;
   private clockMs: number;
   private restartAtMs = Infinity;
   private hungSinceMs: number | undefined;
   private sweptAtMs: number;
   private slowFactor = 1;
   private leaving = false;
-  private tokens = 0;
+  private generatedTokens = 0;
   private crashAtTokens = Infinity;
 
   /** `startMs` is the Unix ms at which it starts, idle. */
@@ -61,16 +61,16 @@
     this.options = {...DEFAULT_ENGINE_OPTIONS, ...options};
     this.clockMs = startMs;
     this.sweptAtMs = startMs;
-    this.books = new EngineBooks(this.options.maxRuns);
+    this.runHistory = new RunHistory(this.options.maxRuns);
     this.cache = new PrefixCache(this.options);
     this.loader = new WeightLoader(this.options);
     const {loadLagMs} = this.options;
-    this.history = new LoadHistory(loadLagMs, this.measure(), startMs);
+    this.loadHistory = new LoadHistory(loadLagMs, this.measure(), startMs);
   }
 
   /** Does all that is due until `nowMs` and returns what happened since the last call. */
   advance(nowMs: number): readonly EngineEvent[] {
-    this.settle(nowMs);
+    this.advanceTo(nowMs);
     const {events} = this;
     this.events = [];
     return events;
@@ -78,41 +78,46 @@
 
   /** When `advance` will next have something to return; Infinity for never. */
   nextEventAtMs(): number {
-    return this.events.length > 0 ? this.clockMs : this.nextStepAtMs();
+    return this.events.length > 0 ? this.clockMs : this.nextDueAtMs();
   }
 
   /** Takes a request; whoever submits it counts as a reader until `detach`. */
   submit(req: EngineRequest, nowMs: number): SubmitAnswer {
-    this.settle(nowMs);
+    this.advanceTo(nowMs);
     if (this.isDown) return {kind: 'down'};
-    const known = this.streams.get(req.id);
-    if (known && known.state !== 'finished') return {kind: 'duplicate'};
+    const existing = this.streams.get(req.id);
+    if (existing && existing.state !== 'finished') return {kind: 'duplicate'};
     if (this.waiting.size >= this.options.maxWaiting)
       return {kind: 'full', retryAfterMs: FULL_RETRY_AFTER_MS};
-    const run = this.books.open(req.id, req.seed, req.resumeTokens, nowMs);
+    const run = this.runHistory.startRun(
+      req.id,
+      req.seed,
+      req.resumeTokens,
+      nowMs,
+    );
     const stream = new EngineStream(req, run, this.options, nowMs);
     this.streams.set(req.id, stream);
     this.waiting.add(stream);
     this.waitingPromptTokens += req.promptTokens;
-    this.beginTurn(nowMs);
+    this.beginIteration(nowMs);
     this.recordLoad(nowMs);
     return {kind: 'accepted', weightVersion: this.loader.weightVersion};
   }
 
   /** Stops a request and forgets its stream; false when it is unknown. */
   cancel(id: string, nowMs: number): boolean {
-    this.settle(nowMs);
+    this.advanceTo(nowMs);
     const stream = this.streams.get(id);
     if (!stream) return false;
     if (stream.state !== 'finished') stream.run.close('cancelled', nowMs);
-    this.forget(stream);
+    this.removeStream(stream);
     this.recordLoad(nowMs);
     return true;
   }
 
   /** The stream of a request, while it is kept. */
   findStream(id: string, nowMs: number): EngineStream | undefined {
-    this.settle(nowMs);
+    this.advanceTo(nowMs);
     return this.streams.get(id);
   }
 
@@ -130,15 +135,15 @@
   }
 
   reportLoad(nowMs: number): EngineLoad {
-    this.settle(nowMs);
-    return this.history.report(nowMs);
+    this.advanceTo(nowMs);
+    return this.loadHistory.report(nowMs);
   }
 
   listCacheEvents(
     from: number,
     nowMs: number,
   ): {readonly next: number; readonly events: readonly CacheEvent[]} {
-    this.settle(nowMs);
+    this.advanceTo(nowMs);
     return this.cache.listEvents(from, nowMs);
   }
 
@@ -158,32 +163,32 @@
   }
 
   order(order: EngineOrder, nowMs: number): OrderAnswer {
-    this.settle(nowMs);
+    this.advanceTo(nowMs);
     if (this.isDown) return {kind: 'failed', detail: 'the engine is down'};
     const answer = this.loader.order(order, nowMs, this.events);
-    this.beginTurn(nowMs);
+    this.beginIteration(nowMs);
     return answer;
   }
 
   describeOrders(nowMs: number): OrderStatus {
-    this.settle(nowMs);
+    this.advanceTo(nowMs);
     return this.loader.describe();
   }
 
   /** The owner fetched the weights that `fetch_weights` asked for, or failed to. */
   endFetch(version: number, error: string | undefined, nowMs: number): void {
-    this.settle(nowMs);
+    this.advanceTo(nowMs);
     this.loader.endFetch(version, error, nowMs, this.events);
-    this.beginTurn(nowMs);
+    this.beginIteration(nowMs);
   }
 
   /** Every request that came, in the order of coming. */
   listRuns(): readonly EngineRun[] {
-    return this.books.list();
+    return this.runHistory.list();
   }
 
   countDroppedRuns(): number {
-    return this.books.countDropped();
+    return this.runHistory.countDropped();
   }
 
   get isDown(): boolean {
@@ -192,15 +197,15 @@
 
   /** Kills the process; it restarts after a while. */
   crash(nowMs: number): void {
-    this.settle(nowMs);
-    this.die(nowMs);
+    this.advanceTo(nowMs);
+    this.crashNow(nowMs);
   }
 
   /** Stands still, or goes on: requests are taken, but nothing is generated. */
-  setHung(hung: boolean, nowMs: number): void {
-    this.settle(nowMs);
-    if (hung) this.hungSinceMs ??= nowMs;
-    else this.goOn(nowMs);
+  setHung(isHung: boolean, nowMs: number): void {
+    this.advanceTo(nowMs);
+    if (isHung) this.hungSinceMs ??= nowMs;
+    else this.endHang(nowMs);
   }
 
   /** Makes every turn that begins from now on take `factor` times as long. */
@@ -209,7 +214,7 @@
   }
 
   setLeaving(leaving: boolean, nowMs: number): void {
-    this.settle(nowMs);
+    this.advanceTo(nowMs);
     this.leaving = leaving;
     this.recordLoad(nowMs);
   }
@@ -224,42 +229,44 @@
 
   /** Crashes once it has generated this many more tokens; Infinity for never. */
   crashAfterTokens(tokens: number): void {
-    this.crashAtTokens = this.tokens + tokens;
+    this.crashAtTokens = this.generatedTokens + tokens;
   }
 
   /** Does all steps that are due until `nowMs`, each at its own time. */
-  private settle(nowMs: number): void {
+  private advanceTo(nowMs: number): void {
     for (;;) {
-      const atMs = this.nextStepAtMs();
+      const atMs = this.nextDueAtMs();
       if (atMs > nowMs) break;
       this.clockMs = Math.max(this.clockMs, atMs);
-      this.step(this.clockMs);
+      this.processDue(this.clockMs);
     }
     this.clockMs = Math.max(this.clockMs, nowMs);
     this.sweep(this.clockMs);
   }
 
-  private nextStepAtMs(): number {
+  private nextDueAtMs(): number {
     if (this.hungSinceMs !== undefined) return Infinity;
     return Math.min(
       this.restartAtMs,
-      this.turn?.endsAtMs ?? Infinity,
+      this.iteration?.endsAtMs ?? Infinity,
       this.loader.nextEventAtMs(),
     );
   }
 
-  private step(nowMs: number): void {
+  private processDue(nowMs: number): void {
     if (this.restartAtMs <= nowMs) this.restart(nowMs);
     // The cache holds what the old weights computed, which is of no more use.
     if (this.loader.advance(nowMs, this.events)) this.cache.clear(nowMs);
-    if (this.turn && this.turn.endsAtMs <= nowMs) this.endTurn(nowMs);
-    this.beginTurn(nowMs);
+    if (this.iteration && this.iteration.endsAtMs <= nowMs)
+      this.endIteration(nowMs);
+    this.beginIteration(nowMs);
     this.recordLoad(nowMs);
   }
 
-  private beginTurn(nowMs: number): void {
-    const stopped = this.turn || this.isDown || this.hungSinceMs !== undefined;
-    if (stopped || this.loader.beginSwap(nowMs)) return;
+  private beginIteration(nowMs: number): void {
+    const isBlocked =
+      this.iteration || this.isDown || this.hungSinceMs !== undefined;
+    if (isBlocked || this.loader.beginSwap(nowMs)) return;
     this.fillBatch(nowMs);
     if (this.running.size === 0) return;
     const prefilled = this.prefill();
@@ -269,7 +276,7 @@
     const decodeMs = decoding.length > 0 ? tokenMs * tokensPerChunk : 0;
     const durationMs = prefilled * this.options.prefillMsPerToken + decodeMs;
     const endsAtMs = nowMs + durationMs * this.slowFactor;
-    this.turn = {endsAtMs, decoding};
+    this.iteration = {endsAtMs, decoding};
   }
 
   private fillBatch(nowMs: number): void {
@@ -279,7 +286,7 @@
       this.running.add(stream);
       stream.state = 'running';
       stream.prefillTokens = this.countPrefill(stream.req);
-      this.cache.use(stream.req, nowMs);
+      this.cache.markUsed(stream.req, nowMs);
     }
   }
 
@@ -290,28 +297,30 @@
 
   /** Prefills as much as one turn may; returns the number of tokens. */
   private prefill(): number {
-    let left = this.options.prefillTokensPerTurn;
+    let budget = this.options.prefillTokensPerIteration;
     for (const stream of this.running) {
-      const tokens = Math.min(left, stream.prefillTokens);
+      const tokens = Math.min(budget, stream.prefillTokens);
       stream.prefillTokens -= tokens;
-      left -= tokens;
+      budget -= tokens;
     }
-    return this.options.prefillTokensPerTurn - left;
+    return this.options.prefillTokensPerIteration - budget;
   }
 
-  private endTurn(nowMs: number): void {
-    const decoding = this.turn!.decoding.filter(s => s.state === 'running');
-    this.turn = undefined;
-    if (decoding.some(stream => stream.req.poison)) return this.die(nowMs);
+  private endIteration(nowMs: number): void {
+    const decoding = this.iteration!.decoding.filter(
+      s => s.state === 'running',
+    );
+    this.iteration = undefined;
+    if (decoding.some(stream => stream.req.poison)) return this.crashNow(nowMs);
     for (const stream of decoding) this.generate(stream, nowMs);
-    if (this.tokens >= this.crashAtTokens) this.die(nowMs);
+    if (this.generatedTokens >= this.crashAtTokens) this.crashNow(nowMs);
   }
 
   private generate(stream: EngineStream, nowMs: number): void {
     const firstToken = stream.outputTokens;
     const {weightVersion} = this.loader;
     const tokens = stream.generate(this.options.tokensPerChunk, weightVersion);
-    this.tokens += tokens;
+    this.generatedTokens += tokens;
     const finishReason = stream.isComplete ? stream.finishReason : null;
     this.events.push({
       kind: 'chunk',
@@ -329,7 +338,7 @@
     stream.unreadSinceMs = nowMs;
   }
 
-  private die(nowMs: number): void {
+  private crashNow(nowMs: number): void {
     if (this.isDown) return;
     const unfinished = [...this.running, ...this.waiting];
     for (const stream of unfinished) stream.run.close('crashed', nowMs);
@@ -340,7 +349,7 @@
     this.waitingPromptTokens = 0;
     this.imported.clear();
     this.cache.clear(nowMs);
-    this.turn = undefined;
+    this.iteration = undefined;
     this.hungSinceMs = undefined;
     this.crashAtTokens = Infinity;
     this.loader.reset();
@@ -354,15 +363,18 @@
     this.events.push({kind: 'restarted', atMs: nowMs});
   }
 
-  private goOn(nowMs: number): void {
+  private endHang(nowMs: number): void {
     if (this.hungSinceMs === undefined) return;
-    const byMs = nowMs - this.hungSinceMs;
+    const hungMs = nowMs - this.hungSinceMs;
     this.hungSinceMs = undefined;
-    this.restartAtMs += byMs;
-    this.loader.postpone(byMs);
-    if (this.turn)
-      this.turn = {...this.turn, endsAtMs: this.turn.endsAtMs + byMs};
-    this.beginTurn(nowMs);
+    this.restartAtMs += hungMs;
+    this.loader.postpone(hungMs);
+    if (this.iteration)
+      this.iteration = {
+        ...this.iteration,
+        endsAtMs: this.iteration.endsAtMs + hungMs,
+      };
+    this.beginIteration(nowMs);
   }
 
   /** Drops streams that nobody has read for too long. */
@@ -372,15 +384,15 @@
     const {streamKeepMs} = this.options;
     for (const stream of this.streams.values()) {
       if (!stream.isAbandoned(nowMs, streamKeepMs)) continue;
-      const unfinished = stream.state !== 'finished';
-      this.forget(stream);
-      if (!unfinished) continue;
+      const isUnfinished = stream.state !== 'finished';
+      this.removeStream(stream);
+      if (!isUnfinished) continue;
       stream.run.close('abandoned', nowMs);
       this.events.push({kind: 'abandoned', atMs: nowMs, id: stream.req.id});
     }
   }
 
-  private forget(stream: EngineStream): void {
+  private removeStream(stream: EngineStream): void {
     this.streams.delete(stream.req.id);
     this.running.delete(stream);
     this.stopWaiting(stream);
@@ -393,7 +405,7 @@
   }
 
   private recordLoad(nowMs: number): void {
-    this.history.record(this.measure(), this.tokens, nowMs);
+    this.loadHistory.record(this.measure(), this.generatedTokens, nowMs);
   }
 
   private measure(): LoadFigures {
--- a/packages/fakes/src/engine_options.ts
+++ b/packages/fakes/src/engine_options.ts
@@ -15,7 +15,7 @@
   /** Time to prefill one prompt token that is not cached. */
   readonly prefillMsPerToken: number;
   /** Prompt tokens prefilled at most before generation goes on. */
-  readonly prefillTokensPerTurn: number;
+  readonly prefillTokensPerIteration: number;
   /** Time for one token of each running request, whatever their number. */
   readonly decodeBaseMs: number;
   /** What each running request adds to that. */
@@ -43,7 +43,7 @@
   maxWaiting: 10_000,
   tokensPerChunk: 4,
   prefillMsPerToken: 0.05,
-  prefillTokensPerTurn: 4096,
+  prefillTokensPerIteration: 4096,
   decodeBaseMs: 8,
   decodeSlopeMs: 0.25,
   length: {medianTokens: 200, sigma: 0.8},
--- a/packages/fakes/src/engine_readers.ts
+++ b/packages/fakes/src/engine_readers.ts
@@ -29,7 +29,7 @@
     res: http.ServerResponse,
   ): void {
     startEvents(res, weightVersion);
-    this.join(req.id, req.seed, res);
+    this.addReader(req.id, req.seed, res);
   }
 
   /**
@@ -59,7 +59,7 @@
       if (tokens > 0)
         writeChunk(res, id, seed, first, tokens, span.weightVersion, null);
     }
-    if (isLive) return this.join(id, seed, res);
+    if (isLive) return this.addReader(id, seed, res);
     const last = stream.run.spans[stream.run.spans.length - 1];
     const end = stream.outputTokens;
     const endVersion = last?.weightVersion ?? version;
@@ -101,14 +101,14 @@
     this.streams.clear();
   }
 
-  private join(id: string, seed: number, res: http.ServerResponse): void {
+  private addReader(id: string, seed: number, res: http.ServerResponse): void {
     const readers = this.streams.get(id) ?? {seed, responses: new Set()};
     this.streams.set(id, readers);
     readers.responses.add(res);
-    res.once('close', () => this.leave(id, readers, res));
+    res.once('close', () => this.removeReader(id, readers, res));
   }
 
-  private leave(
+  private removeReader(
     id: string,
     readers: StreamReaders,
     res: http.ServerResponse,
--- a/packages/fakes/src/engine_stream.ts
+++ b/packages/fakes/src/engine_stream.ts
@@ -2,8 +2,8 @@
 
 import type {EngineRequest, FinishReason} from './engine_event.js';
 import type {EngineOptions} from './engine_options.js';
-import type {RunEntry} from './engine_books.js';
-import {drawOutputTokens} from './output_length.js';
+import type {RunRecorder} from './run_history.js';
+import {pickOutputTokens} from './output_length.js';
 
 export class EngineStream {
   /** Tokens of the whole output at its natural or allowed end. */
@@ -20,13 +20,13 @@
 
   constructor(
     readonly req: EngineRequest,
-    readonly run: RunEntry,
+    readonly run: RunRecorder,
     options: EngineOptions,
     nowMs: number,
   ) {
-    const drawn = drawOutputTokens(req.seed, options.length);
-    this.finishReason = drawn <= req.maxTokens ? 'stop' : 'length';
-    this.totalTokens = Math.min(drawn, req.maxTokens);
+    const naturalTokens = pickOutputTokens(req.seed, options.length);
+    this.finishReason = naturalTokens <= req.maxTokens ? 'stop' : 'length';
+    this.totalTokens = Math.min(naturalTokens, req.maxTokens);
     this.outputTokens = req.resumeTokens;
     this.unreadSinceMs = nowMs;
   }
@@ -45,8 +45,8 @@
   }
 
   /** Whether it ended or was left by its readers more than `keepMs` ago. */
-  isAbandoned(nowMs: number, keepMs: number): boolean {
+  isAbandoned(nowMs: number, retentionMs: number): boolean {
     const isIdle = this.readers === 0 || this.state === 'finished';
-    return isIdle && nowMs - this.unreadSinceMs >= keepMs;
+    return isIdle && nowMs - this.unreadSinceMs >= retentionMs;
   }
 }
--- a/packages/fakes/src/fake_engine.ts
+++ b/packages/fakes/src/fake_engine.ts
@@ -9,7 +9,7 @@
   decodeKvState,
   decodeOrder,
 } from './completion_request.js';
-import type {EngineRun} from './engine_books.js';
+import type {EngineRun} from './run_history.js';
 import type {EngineEvent} from './engine_event.js';
 import {EngineModel} from './engine_model.js';
 import {DEFAULT_ENGINE_OPTIONS, EngineOptions} from './engine_options.js';
@@ -98,7 +98,7 @@
     this.server = await FaultyHttpServer.start(
       async (req, res, url) => {
         await this.serve(req, res, url);
-        this.pump();
+        this.processEvents();
       },
       this.faults.asTransport(),
       this.options.port,
@@ -129,7 +129,7 @@
 
   crash(): void {
     this.model.crash(Date.now());
-    this.pump();
+    this.processEvents();
   }
 
   private async serve(
@@ -198,7 +198,7 @@
 
   private resume(id: string, from: number, res: http.ServerResponse): void {
     const nowMs = Date.now();
-    this.pump(nowMs);
+    this.processEvents(nowMs);
     this.readers.resume(id, from, res, nowMs);
   }
 
@@ -228,33 +228,34 @@
     sendJson(res, 200, this.model.listCacheEvents(from, Date.now()));
   }
 
-  private applyFaults(set: EngineFault | undefined): void {
+  private applyFaults(newFault: EngineFault | undefined): void {
     const {faults, model} = this;
     const nowMs = Date.now();
-    if (set?.kind === 'crash_after_tokens') model.crashAfterTokens(set.tokens);
+    if (newFault?.kind === 'crash_after_tokens')
+      model.crashAfterTokens(newFault.tokens);
     const swap = faults.find('fail_swap');
     model.setSwapFailure(swap && (swap.when ?? 'at_once'));
-    const checks =
+    const checksFencing =
       this.options.checksFencing ?? DEFAULT_ENGINE_OPTIONS.checksFencing;
-    model.setChecksFencing(checks && !faults.find('ignore_fencing'));
+    model.setChecksFencing(checksFencing && !faults.find('ignore_fencing'));
     model.setSlowFactor(faults.find('slow')?.factor ?? 1);
     model.setHung(faults.find('hang') !== undefined, nowMs);
     model.setLeaving(faults.find('leaving') !== undefined, nowMs);
-    this.pump();
+    this.processEvents();
   }
 
   /** Acts on what the model did and wakes when it next does something. */
-  private pump(nowMs = Date.now()): void {
+  private processEvents(nowMs = Date.now()): void {
     clearTimeout(this.timer);
     if (this.closed) return;
-    for (const event of this.model.advance(nowMs)) this.act(event);
+    for (const event of this.model.advance(nowMs)) this.handleEvent(event);
     const waitMs = this.model.nextEventAtMs() - Date.now();
     if (waitMs === Infinity) return;
     const timerMs = Math.min(MAX_TIMER_MS, Math.max(0, waitMs));
-    this.timer = setTimeout(() => this.pump(), timerMs);
+    this.timer = setTimeout(() => this.processEvents(), timerMs);
   }
 
-  private act(event: EngineEvent): void {
+  private handleEvent(event: EngineEvent): void {
     switch (event.kind) {
       case 'chunk':
         return this.readers.send(event);
@@ -275,7 +276,7 @@
   private async fetchWeights(version: number): Promise<void> {
     const error = await this.tryFetch(version);
     this.model.endFetch(version, error, Date.now());
-    this.pump();
+    this.processEvents();
   }
 
   /** Fetches the weights as a whole; returns what went wrong. */
--- a/packages/fakes/src/fake_log.ts
+++ b/packages/fakes/src/fake_log.ts
@@ -77,13 +77,13 @@
   options: FakeLogOptions,
   faults: FaultPlan<LogFault>,
 ): LogOptions {
-  const own = {...DEFAULT_LOG_OPTIONS, ...options};
+  const baseOptions = {...DEFAULT_LOG_OPTIONS, ...options};
   const limit = faults.find('append_limit');
   const retention = faults.find('retention');
   return {
-    appendsPerSecond: limit?.appendsPerSecond ?? own.appendsPerSecond,
-    retainMs: retention?.retainMs ?? own.retainMs,
-    retainRecords: retention?.retainRecords ?? own.retainRecords,
+    appendsPerSecond: limit?.appendsPerSecond ?? baseOptions.appendsPerSecond,
+    retainMs: retention?.retainMs ?? baseOptions.retainMs,
+    retainRecords: retention?.retainRecords ?? baseOptions.retainRecords,
   };
 }
 
@@ -95,11 +95,11 @@
   res: http.ServerResponse,
 ): Promise<void> {
   const {records} = await readJsonObject(req);
-  const valid =
+  const isValid =
     Array.isArray(records) &&
     records.length > 0 &&
     records.length <= MAX_RECORDS_PER_APPEND;
-  if (!valid) throw new HttpFailure(400, {error: 'bad_records'});
+  if (!isValid) throw new HttpFailure(400, {error: 'bad_records'});
   const answer = model.append(name, records, Date.now());
   if (answer.kind === 'limited') {
     const seconds = String(Math.ceil(answer.retryAfterMs / 1000));
--- a/packages/fakes/src/fake_vm_list.ts
+++ b/packages/fakes/src/fake_vm_list.ts
@@ -34,10 +34,12 @@
 export async function startFakeVmList(
   options: FakeVmListOptions = {},
 ): Promise<FakeVmList> {
-  const ownLagMs = options.lagMs ?? 0;
-  const model = new VmListModel(options.list, ownLagMs);
+  const defaultLagMs = options.lagMs ?? 0;
+  const model = new VmListModel(options.list, defaultLagMs);
   const faults = new FaultPlan<VmListFault>();
-  faults.onChange(() => model.setLag(faults.find('lag')?.lagMs ?? ownLagMs));
+  faults.onChange(() =>
+    model.setLag(faults.find('lag')?.lagMs ?? defaultLagMs),
+  );
   const server = await FaultyHttpServer.start(
     (req, res, url) => {
       if (req.method !== 'GET' || url.pathname !== '/vms')
--- a/packages/fakes/src/fault_plan.ts
+++ b/packages/fakes/src/fault_plan.ts
@@ -62,7 +62,7 @@
 }
 
 /** Whether the answer to a request with `method` is to be lost; counts it. */
-export function takeLostAnswer(
+export function consumeLostAnswer(
   plan: FaultPlan<TransportFault>,
   method: string,
 ): boolean {
--- a/packages/fakes/src/http_server.ts
+++ b/packages/fakes/src/http_server.ts
@@ -6,7 +6,7 @@
 import http from 'node:http';
 import net from 'node:net';
 import {setTimeout as sleep} from 'node:timers/promises';
-import {FaultPlan, takeLostAnswer, TransportFault} from './fault_plan.js';
+import {FaultPlan, consumeLostAnswer, TransportFault} from './fault_plan.js';
 
 const HOST = '127.0.0.1';
 const BODY_LIMIT_BYTES = 16 * 1024 * 1024;
@@ -60,7 +60,7 @@
     server.on('connection', socket => self.addSocket(socket));
     server.on('request', (req, res) => self.serve(handler, req, res));
     faults.onChange(fault => {
-      if (fault?.kind === 'silent') self.silenceOpen();
+      if (fault?.kind === 'silent') self.silenceOpenSockets();
     });
     await self.listen(port);
     return self;
@@ -114,7 +114,7 @@
     if (this.faults.find('silent')?.connections === 'all') this.silence(socket);
   }
 
-  private silenceOpen(): void {
+  private silenceOpenSockets(): void {
     for (const socket of this.sockets) this.silence(socket);
   }
 
@@ -135,8 +135,9 @@
       if (delay) await sleep(delay.delayMs);
       if (this.silenced.has(req.socket)) return;
       if (this.faults.find('unreachable')) return void req.socket.destroy();
-      if (this.faults.find('outage')) return failWith(res, 503, 'outage');
-      if (takeLostAnswer(this.faults, req.method!)) breakInsteadOfAnswer(res);
+      if (this.faults.find('outage')) return sendError(res, 503, 'outage');
+      if (consumeLostAnswer(this.faults, req.method!))
+        breakInsteadOfAnswer(res);
       await handler(req, res, readUrl(req));
     } catch (err) {
       answerFailure(res, err);
@@ -165,10 +166,10 @@
 function answerFailure(res: http.ServerResponse, err: unknown): void {
   if (res.headersSent) return void res.destroy();
   if (err instanceof HttpFailure) return sendJson(res, err.status, err.body);
-  failWith(res, 500, String(err));
+  sendError(res, 500, String(err));
 }
 
-function failWith(
+function sendError(
   res: http.ServerResponse,
   status: number,
   error: string,
@@ -194,15 +195,15 @@
 
 /** Reads a whole body of bounded size. */
 export async function readBody(req: http.IncomingMessage): Promise<Buffer> {
-  const parts: Buffer[] = [];
+  const chunks: Buffer[] = [];
   let bytes = 0;
-  for await (const part of req) {
-    bytes += (part as Buffer).length;
+  for await (const chunk of req) {
+    bytes += (chunk as Buffer).length;
     if (bytes > BODY_LIMIT_BYTES)
       throw new HttpFailure(413, {error: 'too_large'});
-    parts.push(part as Buffer);
+    chunks.push(chunk as Buffer);
   }
-  return Buffer.concat(parts);
+  return Buffer.concat(chunks);
 }
 
 /** Reads a body that must be a JSON object. */
--- a/packages/fakes/src/named_pipe.ts
+++ b/packages/fakes/src/named_pipe.ts
@@ -19,7 +19,7 @@
 
 const POLL_MS = 2;
 /** A program that does not read within this time has failed, ms; a busy machine takes seconds to start one. */
-const READER_MS = 30_000;
+const READER_TIMEOUT_MS = 30_000;
 
 export class NamedPipe {
   readonly path: string;
@@ -28,23 +28,23 @@
   constructor() {
     this.folder = mkdtempSync(path.join(tmpdir(), 'radishyoke-pipe-'));
     this.path = path.join(this.folder, 'pipe');
-    this.make();
+    this.createPipe();
   }
 
   /** Waits until a process reads; it reads on when the function that is returned is called with the text. */
   async waitForReader(): Promise<(text: string) => void> {
-    const untilMs = performance.now() + READER_MS;
-    let fd = this.open();
+    const untilMs = performance.now() + READER_TIMEOUT_MS;
+    let fd = this.openForWriting();
     while (fd === undefined) {
       if (performance.now() > untilMs) throw new Error('no program reads');
       await sleep(POLL_MS);
-      fd = this.open();
+      fd = this.openForWriting();
     }
     const writer = fd;
     // Who reads next opens another pipe of the same name: a reader that is not
     // done with this one would be taken for the next.
     rmSync(this.path);
-    this.make();
+    this.createPipe();
     return text => {
       writeSync(writer, text);
       closeSync(writer);
@@ -55,11 +55,11 @@
     rmSync(this.folder, {recursive: true});
   }
 
-  private make(): void {
+  private createPipe(): void {
     execFileSync('mkfifo', [this.path]);
   }
 
-  private open(): number | undefined {
+  private openForWriting(): number | undefined {
     try {
       return openSync(this.path, constants.O_WRONLY | constants.O_NONBLOCK);
     } catch (err) {
--- a/packages/fakes/src/output_length.ts
+++ b/packages/fakes/src/output_length.ts
@@ -9,16 +9,17 @@
 }
 
 // Positions far from those that token checks are drawn from.
-const FIRST_DRAW = -1;
-const SECOND_DRAW = -2;
+const FIRST_RANDOM_INDEX = -1;
+const SECOND_RANDOM_INDEX = -2;
 
 /** Draws the length of the whole output; at least 1. */
-export function drawOutputTokens(
+export function pickOutputTokens(
   seed: number,
   distribution: LengthDistribution,
 ): number {
-  const radius = Math.sqrt(-2 * Math.log(mixUnit(seed, FIRST_DRAW)));
-  const normal = radius * Math.cos(2 * Math.PI * mixUnit(seed, SECOND_DRAW));
+  const radius = Math.sqrt(-2 * Math.log(mixUnit(seed, FIRST_RANDOM_INDEX)));
+  const normal =
+    radius * Math.cos(2 * Math.PI * mixUnit(seed, SECOND_RANDOM_INDEX));
   const {medianTokens, sigma} = distribution;
   return Math.max(1, Math.round(medianTokens * Math.exp(sigma * normal)));
 }
--- a/packages/fakes/src/prefix_cache.ts
+++ b/packages/fakes/src/prefix_cache.ts
@@ -56,7 +56,7 @@
   }
 
   /** Marks a prompt as used now and cached from now on. */
-  use(prompt: PromptShape, nowMs: number): void {
+  markUsed(prompt: PromptShape, nowMs: number): void {
     const prefixTokens = countPrefix(prompt);
     const restTokens = prompt.promptTokens - prefixTokens;
     // The rest is of use only after its prefix, so it must be evicted first.
@@ -95,22 +95,22 @@
     isPrefix: boolean,
     nowMs: number,
   ): void {
-    const known = this.entries.get(key);
+    const existing = this.entries.get(key);
     this.entries.delete(key);
-    this.entries.set(key, known ?? {tokens, isPrefix});
-    if (known) return;
+    this.entries.set(key, existing ?? {tokens, isPrefix});
+    if (existing) return;
     this.tokens += tokens;
-    if (isPrefix) this.tell(key, true, nowMs);
+    if (isPrefix) this.recordEvent(key, true, nowMs);
   }
 
   private evictOldest(nowMs: number): void {
     const [key, entry] = this.entries.entries().next().value!;
     this.entries.delete(key);
     this.tokens -= entry.tokens;
-    if (entry.isPrefix) this.tell(key, false, nowMs);
+    if (entry.isPrefix) this.recordEvent(key, false, nowMs);
   }
 
-  private tell(prefix: string, cached: boolean, atMs: number): void {
+  private recordEvent(prefix: string, cached: boolean, atMs: number): void {
     this.events.push({seq: this.seq++, prefix, cached, atMs});
     if (this.events.length > 2 * MAX_EVENTS)
       this.events = this.events.slice(-MAX_EVENTS);
--- a/packages/fakes/src/engine_books.ts
+++ b/packages/fakes/src/run_history.ts
@@ -22,7 +22,7 @@
   readonly spans: readonly TokenSpan[];
 }
 
-interface OpenRun {
+interface MutableRun {
   readonly requestId: string;
   readonly seed: number;
   readonly resumeTokens: number;
@@ -33,22 +33,22 @@
 }
 
 /** Keeps the last runs, as many as `maxRuns`. */
-export class EngineBooks {
-  private runs: OpenRun[] = [];
+export class RunHistory {
+  private runs: MutableRun[] = [];
   private dropped = 0;
 
   constructor(private readonly maxRuns: number) {}
 
-  open(
+  startRun(
     requestId: string,
     seed: number,
     resumeTokens: number,
     startedAtMs: number,
-  ): RunEntry {
+  ): RunRecorder {
     const run = {requestId, seed, resumeTokens, startedAtMs, spans: []};
     this.runs.push(run);
     if (this.runs.length >= 2 * this.maxRuns) this.dropOldest();
-    return new RunEntry(run);
+    return new RunRecorder(run);
   }
 
   list(): readonly EngineRun[] {
@@ -67,8 +67,8 @@
 }
 
 /** Writes to one run. */
-export class RunEntry {
-  constructor(private readonly run: OpenRun) {}
+export class RunRecorder {
+  constructor(private readonly run: MutableRun) {}
 
   get spans(): readonly TokenSpan[] {
     return this.run.spans;
--- a/packages/fakes/src/stand_ins.ts
+++ b/packages/fakes/src/stand_ins.ts
@@ -50,7 +50,7 @@
   const weightStore = await startFakeWeightStore();
   const engines = new Map<string, FakeEngine>();
   const services = new Map<string, FakeService>();
-  const place = (index: number): DataCentreId =>
+  const pickDataCentre = (index: number): DataCentreId =>
     toDataCentreId(options.dataCentres[index % options.dataCentres.length]);
   for (let i = 0; i < options.engines; i++) {
     const engine = await startFakeEngine({
@@ -64,7 +64,7 @@
       id,
       kind: 'engine',
       address: engine.address,
-      dataCentre: place(i),
+      dataCentre: pickDataCentre(i),
       group: options.engineGroup,
       model: options.model,
       state: 'live',
@@ -82,7 +82,7 @@
       id,
       kind: 'service',
       address: service.address,
-      dataCentre: place(i),
+      dataCentre: pickDataCentre(i),
       group: options.serviceGroup,
       state: 'live',
       checksFencing: false,
@@ -103,7 +103,7 @@
 }
 
 /** Publishes a team's first configuration straight to the log. */
-export function publishFirstRules(
+export function publishInitialConfig(
   standIns: StandIns,
   team: string,
   text: string,
--- a/packages/fakes/src/token_text.ts
+++ b/packages/fakes/src/token_text.ts
@@ -27,7 +27,7 @@
 }
 
 /** What a text says of itself. */
-export interface TokenReading {
+export interface ParsedTokens {
   readonly tokens: number;
   readonly spans: readonly TokenSpan[];
 }
@@ -39,7 +39,7 @@
 export function readTokens(
   seed: number,
   text: string,
-): TokenReading | undefined {
+): ParsedTokens | undefined {
   const words = text === '' ? [] : text.split(' ').slice(1);
   const spans: Array<{weightVersion: number; tokens: number}> = [];
   for (const [i, word] of words.entries()) {
--- a/packages/fakes/src/vm_settings.ts
+++ b/packages/fakes/src/vm_settings.ts
@@ -1,6 +1,6 @@
 /** Settings of a VM whose platform is not there, for tests of how it starts and ends. */
 
-export interface LoneVmSettings {
+export interface SingleVmSettings {
   /** `ip:port` for operators; a free port is taken without. */
   readonly adminAddress?: string;
   /** How long a drain waits for the balancer, with a unit. */
@@ -8,10 +8,10 @@
 }
 
 /** The text of the settings file; nobody listens at port 1 of the platform. */
-export function createLoneVmSettings({
+export function createSingleVmSettings({
   adminAddress = '127.0.0.1:0',
   notice = '1ms',
-}: LoneVmSettings = {}): string {
+}: SingleVmSettings = {}): string {
   return `[vm]
 id = entry-1
 data_centre = salto
