--- a/packages/bench/src/__tests__/capacity.spec.ts
+++ b/packages/bench/src/__tests__/capacity.spec.ts
@@ -3,7 +3,7 @@
 import {
   evaluateSheet,
   formatValue,
-  judge,
+  computeVerdict,
   readSheet,
 } from '../capacity_sheet.js';
 
@@ -16,7 +16,11 @@
   for (const row of rows) {
     const found = formatValue(values.get(row.name)!);
     t.is(row.stated, found, `${row.name}, line ${row.line + 1}`);
-    t.is(row.verdict, judge(row, values), `${row.name}, line ${row.line + 1}`);
+    t.is(
+      row.verdict,
+      computeVerdict(row, values),
+      `${row.name}, line ${row.line + 1}`,
+    );
   }
 });
 
--- a/packages/bench/src/__tests__/outage_takeover.spec.ts
+++ b/packages/bench/src/__tests__/outage_takeover.spec.ts
@@ -31,7 +31,7 @@
   return task;
 }
 
-function seesHeld(task: LogTask): boolean {
+function seesLeaseHeld(task: LogTask): boolean {
   const lease = task.state.leases.find(LEASE);
   const nowMs = task.estimateLogNowMs();
   return lease !== undefined && task.state.leases.isHeld(lease, nowMs);
@@ -57,22 +57,22 @@
   const claim = owner.claim(LEASE);
   await clock.tickAsync(1000);
   const fencing = await claim;
-  t.true(fencing.ok && seesHeld(other));
-  const held = {lease: LEASE, fencing: fencing.ok ? fencing.value : -1};
+  t.true(fencing.ok && seesLeaseHeld(other));
+  const heldLease = {lease: LEASE, fencing: fencing.ok ? fencing.value : -1};
   client.isDown = true;
   await clock.tickAsync(outageMs);
-  t.false(owner.holds(held), 'the holder itself can not know');
+  t.false(owner.holds(heldLease), 'the holder itself can not know');
   client.isDown = false;
   // Whatever is appended first shows the others that the log's time went on.
   void third.append(CRASH);
   for (let ms = 0; ms < 3 * ttlMs; ms += TICK_MS) {
-    t.true(seesHeld(other), `${ms} ms after an outage of ${outageMs} ms`);
+    t.true(seesLeaseHeld(other), `${ms} ms after an outage of ${outageMs} ms`);
     await clock.tickAsync(TICK_MS);
   }
-  t.true(owner.holds(held));
+  t.true(owner.holds(heldLease));
   owner.stop();
   await clock.tickAsync(2 * ttlMs);
-  t.false(seesHeld(other));
+  t.false(seesLeaseHeld(other));
   other.stop();
   third.stop();
   clock.uninstall();
--- a/packages/bench/src/__tests__/steps.spec.ts
+++ b/packages/bench/src/__tests__/steps.spec.ts
@@ -1,18 +1,18 @@
 import test from 'ava';
-import {createPolicyContender} from '../steps.js';
+import {createPolicyVariant} from '../steps.js';
 import {DEPLOYMENTS, FAULT_CASES} from '../steps_case.js';
-import {StepsWorld} from '../steps_world.js';
+import {StepsSimulation} from '../steps_simulation.js';
 
 const SEED = 11;
 
 function run(name: string) {
   const deployment = DEPLOYMENTS[1];
-  return new StepsWorld({
+  return new StepsSimulation({
     deployment,
     fault: FAULT_CASES.find(fault => fault.name === name)!,
     seed: SEED,
     vms: 4,
-    createScheduler: createPolicyContender('present', {}).create(deployment),
+    createScheduler: createPolicyVariant('present', {}).create(deployment),
     withRollouts: true,
   }).run();
 }
@@ -24,7 +24,7 @@
   test(`no promise is broken under ${name}`, t => {
     const result = run(name);
     t.true(result.staleness.length > 0);
-    t.is(result.overBound, 0);
+    t.is(result.overStale, 0);
     t.is(result.lost, 0);
     t.deepEqual(result.gaveUp, {});
   });
--- a/packages/bench/src/app_model.ts
+++ b/packages/bench/src/app_model.ts
@@ -4,27 +4,27 @@
 import type {LoadReport} from '@radishyoke/shared/endpoint';
 import type {VirtualClock} from './virtual_clock.js';
 
-interface Waiting {
+interface QueuedRequest {
   readonly serviceMs: number;
   readonly onEnd: () => void;
 }
 
 export class AppModel {
   private running = 0;
-  private readonly waiting: Waiting[] = [];
+  private readonly waiting: QueuedRequest[] = [];
 
   constructor(
     private readonly clock: VirtualClock,
-    private readonly parallel: number,
+    private readonly maxConcurrent: number,
   ) {}
 
   run(serviceMs: number, onEnd: () => void): void {
-    if (this.running >= this.parallel) {
+    if (this.running >= this.maxConcurrent) {
       this.waiting.push({serviceMs, onEnd});
       return;
     }
     this.running++;
-    this.clock.after(serviceMs, () => this.end(onEnd));
+    this.clock.scheduleAfter(serviceMs, () => this.finish(onEnd));
   }
 
   reportLoad(endpoint: EndpointId): LoadReport {
@@ -40,7 +40,7 @@
     };
   }
 
-  private end(onEnd: () => void): void {
+  private finish(onEnd: () => void): void {
     this.running--;
     const next = this.waiting.shift();
     if (next) this.run(next.serviceMs, next.onEnd);
--- a/packages/bench/src/capacity_files.ts
+++ b/packages/bench/src/capacity_files.ts
@@ -5,17 +5,21 @@
 import {fillSheet} from './capacity_sheet.js';
 import type {Slope} from './slope.js';
 
-const DOCS = fileURLToPath(new URL('../../../docs/', import.meta.url));
-const PAGE = `${DOCS}CAPACITY.md`;
-const SLOPES = `${DOCS}capacity-slopes.json`;
+const DOCS_DIRECTORY = fileURLToPath(
+  new URL('../../../docs/', import.meta.url),
+);
+const PAGE_PATH = `${DOCS_DIRECTORY}CAPACITY.md`;
+const SLOPES_PATH = `${DOCS_DIRECTORY}capacity-slopes.json`;
 
 export function readCapacityPage(): string {
-  return readFileSync(PAGE, 'utf8');
+  return readFileSync(PAGE_PATH, 'utf8');
 }
 
 /** The recorded slopes, by name. */
 export function readRecordedSlopes(): ReadonlyMap<string, number> {
-  const slopes = JSON.parse(readFileSync(SLOPES, 'utf8')) as readonly Slope[];
+  const slopes = JSON.parse(
+    readFileSync(SLOPES_PATH, 'utf8'),
+  ) as readonly Slope[];
   return new Map(slopes.map(({name, value}) => [name, value]));
 }
 
@@ -26,6 +30,6 @@
     ({name, value, unit}) =>
       `  {"name": "${name}", "value": ${value}, "unit": "${unit}"}`,
   );
-  writeFileSync(SLOPES, `[\n${lines.join(',\n')}\n]\n`);
-  writeFileSync(PAGE, fillSheet(readCapacityPage(), readRecordedSlopes()));
+  writeFileSync(SLOPES_PATH, `[\n${lines.join(',\n')}\n]\n`);
+  writeFileSync(PAGE_PATH, fillSheet(readCapacityPage(), readRecordedSlopes()));
 }
--- a/packages/bench/src/capacity_sheet.ts
+++ b/packages/bench/src/capacity_sheet.ts
@@ -15,17 +15,18 @@
 }
 
 const HEADER = '| name | formula | value |';
-const TOKEN = /\s*([A-Za-z_][A-Za-z0-9_]*|\d+(?:\.\d+)?|[-+*/()])/y;
-const DIGITS = 3;
+const TOKEN_PATTERN = /\s*([A-Za-z_][A-Za-z0-9_]*|\d+(?:\.\d+)?|[-+*/()])/y;
+const SIGNIFICANT_DIGITS = 3;
 
 /** Finds all rows of sheets in a page. */
 export function readSheet(page: string): readonly SheetRow[] {
   const rows: SheetRow[] = [];
-  let inside = false;
+  let isInSheet = false;
   for (const [line, text] of page.split('\n').entries()) {
-    if (text.startsWith(HEADER)) inside = true;
-    else if (!text.startsWith('|')) inside = false;
-    else if (inside && !text.startsWith('| ---')) rows.push(toRow(line, text));
+    if (text.startsWith(HEADER)) isInSheet = true;
+    else if (!text.startsWith('|')) isInSheet = false;
+    else if (isInSheet && !text.startsWith('| ---'))
+      rows.push(parseRow(line, text));
   }
   return rows;
 }
@@ -45,19 +46,19 @@
 
 /** A value as the page states it. */
 export function formatValue(value: number): string {
-  const rounded = Number(value.toPrecision(DIGITS));
+  const rounded = Number(value.toPrecision(SIGNIFICANT_DIGITS));
   return String(rounded);
 }
 
 /** How a row stands against the row that its verdict names. */
-export function judge(
+export function computeVerdict(
   row: SheetRow,
   values: ReadonlyMap<string, number>,
 ): string {
   const limit = /^(?:within|over) (\w+)/.exec(row.verdict)?.[1];
   if (!limit) return row.verdict;
-  const holds = values.get(row.name)! <= values.get(limit)!;
-  return `${holds ? 'within' : 'over'} ${limit}`;
+  const isWithin = values.get(row.name)! <= values.get(limit)!;
+  return `${isWithin ? 'within' : 'over'} ${limit}`;
 }
 
 /** The page with all values and verdicts worked out anew. */
@@ -71,13 +72,13 @@
   for (const row of rows) {
     const cells = lines[row.line].split('|');
     cells[3] = ` ${formatValue(values.get(row.name)!)} `;
-    if (row.verdict) cells[5] = ` ${judge(row, values)} `;
+    if (row.verdict) cells[5] = ` ${computeVerdict(row, values)} `;
     lines[row.line] = cells.join('|');
   }
   return lines.join('\n');
 }
 
-function toRow(line: number, text: string): SheetRow {
+function parseRow(line: number, text: string): SheetRow {
   const cells = text.split('|').map(cell => cell.trim());
   const [, name, formula, stated, , verdict = ''] = cells;
   const isVerdict = /^(within|over) \w+$/.test(verdict);
@@ -93,69 +94,69 @@
 /** Sums, differences, products and quotients of numbers and names. */
 class Formula {
   private readonly tokens: readonly string[];
-  private at = 0;
+  private position = 0;
 
   constructor(
     private readonly text: string,
     private readonly values: ReadonlyMap<string, number>,
   ) {
-    this.tokens = this.split();
+    this.tokens = this.tokenize();
   }
 
   evaluate(): number {
-    const value = this.sum();
-    if (this.at < this.tokens.length) this.fail();
+    const value = this.evaluateSum();
+    if (this.position < this.tokens.length) this.fail();
     return value;
   }
 
-  private split(): readonly string[] {
+  private tokenize(): readonly string[] {
     const tokens: string[] = [];
-    TOKEN.lastIndex = 0;
-    while (TOKEN.lastIndex < this.text.trimEnd().length) {
-      const match = TOKEN.exec(this.text);
+    TOKEN_PATTERN.lastIndex = 0;
+    while (TOKEN_PATTERN.lastIndex < this.text.trimEnd().length) {
+      const match = TOKEN_PATTERN.exec(this.text);
       if (!match) return this.fail();
       tokens.push(match[1]);
     }
     return tokens;
   }
 
-  private sum(): number {
-    let value = this.product();
+  private evaluateSum(): number {
+    let value = this.evaluateProduct();
     for (;;) {
-      if (this.take('+')) value += this.product();
-      else if (this.take('-')) value -= this.product();
+      if (this.consume('+')) value += this.evaluateProduct();
+      else if (this.consume('-')) value -= this.evaluateProduct();
       else return value;
     }
   }
 
-  private product(): number {
-    let value = this.operand();
+  private evaluateProduct(): number {
+    let value = this.evaluateOperand();
     for (;;) {
-      if (this.take('*')) value *= this.operand();
-      else if (this.take('/')) value /= this.operand();
+      if (this.consume('*')) value *= this.evaluateOperand();
+      else if (this.consume('/')) value /= this.evaluateOperand();
       else return value;
     }
   }
 
-  private operand(): number {
-    if (this.take('(')) {
-      const value = this.sum();
-      if (!this.take(')')) this.fail();
+  private evaluateOperand(): number {
+    if (this.consume('(')) {
+      const value = this.evaluateSum();
+      if (!this.consume(')')) this.fail();
       return value;
     }
-    const token = this.tokens[this.at++] ?? this.fail();
+    const token = this.tokens[this.position++] ?? this.fail();
     const value = /^\d/.test(token) ? Number(token) : this.values.get(token);
     return value ?? this.fail();
   }
 
-  private take(token: string): boolean {
-    if (this.tokens[this.at] !== token) return false;
-    this.at++;
+  private consume(token: string): boolean {
+    if (this.tokens[this.position] !== token) return false;
+    this.position++;
     return true;
   }
 
   private fail(): never {
-    const token = this.tokens?.[this.at - 1] ?? '';
+    const token = this.tokens?.[this.position - 1] ?? '';
     throw new Error(`can not work out "${this.text}" (at "${token}")`);
   }
 }
--- a/packages/bench/src/decide.ts
+++ b/packages/bench/src/decide.ts
@@ -27,11 +27,11 @@
 const SLICE_MS = 200;
 const SLICES = 7;
 /** Decisions between two looks at the clock. */
-const BATCH = 500;
+const DECISIONS_PER_CLOCK_READ = 500;
 /** At 3,300 requests a second a tick of 100 ms comes this often or less. */
 const DECISIONS_PER_TICK = 100;
 /** Works in flight for each endpoint. */
-const LOAD_PER_ENDPOINT = 4;
+const IN_FLIGHT_PER_ENDPOINT = 4;
 const PEERS = 10;
 const GROUP = 'tutors';
 
@@ -47,11 +47,13 @@
 /** Measures all cases, smallest first. */
 export function* runDecide(): Generator<DecideLine> {
   for (const rules of RULE_COUNTS) {
-    let atSix = 0;
+    let rateAtSix = 0;
     for (const endpoints of ENDPOINT_COUNTS) {
       const decisionsPerSecond = Math.round(measure(endpoints, rules));
-      if (atSix === 0) atSix = decisionsPerSecond;
-      const costTo6Endpoints = Number((atSix / decisionsPerSecond).toFixed(2));
+      if (rateAtSix === 0) rateAtSix = decisionsPerSecond;
+      const costTo6Endpoints = Number(
+        (rateAtSix / decisionsPerSecond).toFixed(2),
+      );
       yield {endpoints, rules, decisionsPerSecond, costTo6Endpoints};
     }
   }
@@ -72,8 +74,8 @@
   );
   private readonly compiled;
   private readonly running: {workId: string; attempt: number}[] = [];
-  private oldest = 0;
-  private made = 0;
+  private oldestIndex = 0;
+  private decisionCount = 0;
 
   constructor(
     private readonly endpoints: number,
@@ -86,17 +88,17 @@
   /** Decides for `durationMs` and returns the decisions a second. */
   run(durationMs: number): number {
     const startMs = performance.now();
-    const before = this.made;
+    const before = this.decisionCount;
     let elapsedMs = 0;
     while (elapsedMs < durationMs) {
-      for (let i = 0; i < BATCH; i++) this.decide();
+      for (let i = 0; i < DECISIONS_PER_CLOCK_READ; i++) this.decide();
       elapsedMs = performance.now() - startMs;
     }
-    return ((this.made - before) / elapsedMs) * 1e3;
+    return ((this.decisionCount - before) / elapsedMs) * 1e3;
   }
 
   private decide(): void {
-    const index = this.made++;
+    const index = this.decisionCount++;
     const tenant = toTenantId(`tenant-${index % this.rules}`);
     const decision = resolveRule(this.compiled, {
       tenant,
@@ -108,27 +110,32 @@
       dataCentre: toDataCentreId('dc-0'),
     });
     if (decision?.then.kind !== 'route') throw new Error('no rule matched');
-    const work = createWork(index, tenant, decision.then.group);
-    this.note(this.scheduler.handle({kind: 'enqueue', work}, index / 10));
+    const work = createWorkItem(index, tenant, decision.then.group);
+    this.recordStarts(
+      this.scheduler.handle({kind: 'enqueue', work}, index / 10),
+    );
     if (index % DECISIONS_PER_TICK === 0) {
-      this.note(this.scheduler.handle({kind: 'tick'}, index / 10));
+      this.recordStarts(this.scheduler.handle({kind: 'tick'}, index / 10));
     }
-    if (this.running.length - this.oldest <= this.endpoints * LOAD_PER_ENDPOINT)
+    if (
+      this.running.length - this.oldestIndex <=
+      this.endpoints * IN_FLIGHT_PER_ENDPOINT
+    )
       return;
-    this.endOldest(index / 10);
+    this.finishOldest(index / 10);
   }
 
-  private endOldest(nowMs: number): void {
-    const {workId, attempt} = this.running[this.oldest++];
+  private finishOldest(nowMs: number): void {
+    const {workId, attempt} = this.running[this.oldestIndex++];
     const outcome = {kind: 'finished', tokens: 40, spans: []} as const;
     const event = {kind: 'ended', workId, attempt, outcome} as const;
-    this.note(this.scheduler.handle(event, nowMs));
-    if (this.oldest < 10_000) return;
-    this.running.splice(0, this.oldest);
-    this.oldest = 0;
+    this.recordStarts(this.scheduler.handle(event, nowMs));
+    if (this.oldestIndex < 10_000) return;
+    this.running.splice(0, this.oldestIndex);
+    this.oldestIndex = 0;
   }
 
-  private note(actions: readonly SchedulerAction[]): void {
+  private recordStarts(actions: readonly SchedulerAction[]): void {
     for (const action of actions) {
       if (action.kind === 'start') this.running.push(action);
       else if (action.kind !== 'done') throw new Error(action.kind);
@@ -189,7 +196,7 @@
   };
 }
 
-function createWork(
+function createWorkItem(
   index: number,
   tenant: WorkItem['tenant'],
   group: string,
--- a/packages/bench/src/delivery_audit.ts
+++ b/packages/bench/src/delivery_audit.ts
@@ -42,11 +42,11 @@
   for (const delivery of deliveries) {
     const {rollout, trainerVersion, maxStaleness} = delivery;
     ids.add(`${delivery.tenant}/${rollout.id}`);
-    const ran = findRun(runs, delivery);
-    if (!ran || !isSuffix(ran.spans, rollout.spans)) mislabelled++;
-    const made = [...rollout.spans, ...(ran?.spans ?? [])];
-    for (const span of made) versions.add(span.weightVersion);
-    const oldest = Math.min(...made.map(span => span.weightVersion));
+    const run = findRun(runs, delivery);
+    if (!run || !isSuffix(run.spans, rollout.spans)) mislabelled++;
+    const spans = [...rollout.spans, ...(run?.spans ?? [])];
+    for (const span of spans) versions.add(span.weightVersion);
+    const oldest = Math.min(...spans.map(span => span.weightVersion));
     const staleness = Math.max(0, trainerVersion - oldest);
     stalenessMax = Math.max(stalenessMax, staleness);
     if (staleness > maxStaleness) overStale++;
@@ -92,18 +92,18 @@
 
 /** Whether `whole` ends with the tokens and versions of `part`. */
 function isSuffix(
-  part: readonly TokenSpan[],
-  whole: readonly TokenSpan[],
+  suffix: readonly TokenSpan[],
+  spans: readonly TokenSpan[],
 ): boolean {
   const expand = (spans: readonly TokenSpan[]) =>
     spans.flatMap(span =>
       new Array<number>(span.tokens).fill(span.weightVersion),
     );
-  const ran = expand(part);
-  const told = expand(whole);
-  const tail = told.slice(told.length - ran.length);
+  const expected = expand(suffix);
+  const actual = expand(spans);
+  const tail = actual.slice(actual.length - expected.length);
   return (
-    ran.length <= told.length &&
-    tail.every((version, index) => version === ran[index])
+    expected.length <= actual.length &&
+    tail.every((version, index) => version === expected[index])
   );
 }
--- a/packages/bench/src/demo.ts
+++ b/packages/bench/src/demo.ts
@@ -21,8 +21,8 @@
 const maxStaleness = 2;
 /** What a trainer does with a step's samples before it publishes, ms. */
 const trainingMs = 400;
-const appPauseMs = 10;
-const progressMs = 1000;
+const appCallIntervalMs = 10;
+const progressIntervalMs = 1000;
 const firstVersion = 1;
 
 /** A step as its trainer saw it; ms from the start of the run. */
@@ -60,13 +60,13 @@
   private version = firstVersion;
   private requested = 0;
   private idleMs = 0;
-  private training = true;
+  private isTraining = true;
   private readonly deliveries: Delivery[] = [];
   private readonly appHistogram = createHistogram();
   private readonly stepHistograms = new Map<string, Histogram>();
   private appCalls = 0;
   private appFailures = 0;
-  private readonly beganAtMs = performance.now();
+  private readonly runStartedAtMs = performance.now();
   private readonly timelines: StepTimeline[] = [];
   private summary: Readonly<Record<string, unknown>> = {};
 
@@ -75,11 +75,14 @@
   async run(): Promise<number> {
     await this.deployment.start();
     this.publishWeights();
-    const progress = setInterval(() => this.printProgress(), progressMs);
+    const progress = setInterval(
+      () => this.printProgress(),
+      progressIntervalMs,
+    );
     const tenants = ['trainer-1', 'trainer-2', 'trainer-3'];
     const app = this.runApp();
     await Promise.all(tenants.map(tenant => this.runTrainer(tenant)));
-    this.training = false;
+    this.isTraining = false;
     await app;
     clearInterval(progress);
     const code = this.report(tenants);
@@ -117,14 +120,14 @@
       const startedAtMs = performance.now();
       const arrivalsMs: number[] = [];
       const step = toStepId(`step-${index}`);
-      const openedMs = startedAtMs - this.beganAtMs;
+      const openedMs = startedAtMs - this.runStartedAtMs;
       this.timelines.push({tenant, step, openedMs, arrivalsMs});
       const result = await client.runStep({
         step,
         req,
         readWeightVersion: () => this.version,
         onRollout: rollout => {
-          arrivalsMs.push(performance.now() - this.beganAtMs);
+          arrivalsMs.push(performance.now() - this.runStartedAtMs);
           const trainerVersion = this.version;
           this.deliveries.push({tenant, rollout, trainerVersion, maxStaleness});
         },
@@ -158,7 +161,7 @@
   private async runApp(): Promise<void> {
     const http = new Agent();
     const headers = {[HEADERS.tenant]: 'lesson-app'};
-    while (this.training) {
+    while (this.isTraining) {
       const origin =
         this.deployment.origins[this.appCalls % this.deployment.origins.length];
       const startedAtMs = performance.now();
@@ -168,15 +171,15 @@
         dispatcher: http,
       });
       const body = await res.body.text();
-      if (res.statusCode !== 200) this.noteAppFailure(res.statusCode, body);
+      if (res.statusCode !== 200) this.recordAppFailure(res.statusCode, body);
       const tookMs = performance.now() - startedAtMs;
       this.appHistogram.recordValue(Math.round(tookMs * 1000));
-      await sleep(appPauseMs);
+      await sleep(appCallIntervalMs);
     }
     await http.close();
   }
 
-  private noteAppFailure(status: number, body: string): void {
+  private recordAppFailure(status: number, body: string): void {
     this.appFailures++;
     console.error(`app call failed with ${status}: ${body}`);
   }
@@ -227,8 +230,9 @@
       appFailures: this.appFailures,
     };
     console.log(JSON.stringify(this.summary));
-    const broken = lost + doubled + overStale + mislabelled + this.appFailures;
-    return broken === 0 ? 0 : 1;
+    const violations =
+      lost + doubled + overStale + mislabelled + this.appFailures;
+    return violations === 0 ? 0 : 1;
   }
 }
 
--- a/packages/bench/src/demo_deployment.ts
+++ b/packages/bench/src/demo_deployment.ts
@@ -26,7 +26,7 @@
 
 const team = toTeamId('kodkutu');
 const tokenName = 'operator';
-const tokenLifeMs = 86_400_000;
+const tokenLifetimeMs = 86_400_000;
 const dataCentres = ['gebze-a', 'gebze-b', 'kartal'];
 const vmDataCentres = ['gebze-a', 'kartal'];
 
@@ -38,7 +38,7 @@
 
 const freePorts: DemoPorts = {caller: 0, admin: 0};
 /** Ports that the pages' commands name. */
-const heldPorts: readonly DemoPorts[] = [
+const fixedPorts: readonly DemoPorts[] = [
   {caller: 7100, admin: 7102},
   {caller: 7110, admin: 7112},
 ];
@@ -65,7 +65,7 @@
     for (const [index, dataCentre] of vmDataCentres.entries()) {
       const ports = this.ports[index] ?? freePorts;
       const id = `entry-${index + 1}`;
-      const settings = this.adapt(parsed.value, id, dataCentre, ports);
+      const settings = this.adaptSettings(parsed.value, id, dataCentre, ports);
       await this.startVm({...settings, tokens});
     }
     await Promise.all(this.origins.map(waitUntilReady));
@@ -84,7 +84,7 @@
       team,
       roles: ['read', 'publish', 'audit'],
       hash: await hashToken(this.token),
-      expiresAtMs: Date.now() + tokenLifeMs,
+      expiresAtMs: Date.now() + tokenLifetimeMs,
     };
   }
 
@@ -101,7 +101,7 @@
   }
 
   /** The example's settings with these ports and the stand-ins' addresses. */
-  private adapt(
+  private adaptSettings(
     settings: Settings,
     id: string,
     dataCentre: string,
@@ -130,7 +130,7 @@
 
 /** Keeps the deployment open for requests by hand, until interrupted. */
 export async function holdDemo(): Promise<void> {
-  const deployment = new DemoDeployment(heldPorts);
+  const deployment = new DemoDeployment(fixedPorts);
   try {
     await deployment.start();
     const admin = deployment.vms.map(vm => vm.adminAddress).join(',');
--- a/packages/bench/src/drill.ts
+++ b/packages/bench/src/drill.ts
@@ -8,14 +8,14 @@
 import {CaseFigures, DRILL_CASES, DrillCase} from './drill_cases.js';
 import {AppResult, DrillApp, runTrainer, TrainerResult} from './drill_load.js';
 import {sleep} from './drill_vm.js';
-import {DrillWorld} from './drill_world.js';
+import {DrillDeployment} from './drill_deployment.js';
 
 const TRAINERS = ['trainer-1', 'trainer-2'] as const;
 /** From the start of the steps until something breaks. */
-const UNDER_WAY_MS = 1200;
+const FAULT_DELAY_MS = 1200;
 /** Whatever is not there by then counts as lost. */
 const CASE_TIMEOUT_MS = 40_000;
-const CONFIG_BOUND_SECONDS = 6;
+const MAX_CONFIG_SECONDS = 6;
 
 /** One line of output. */
 interface DrillLine extends CaseFigures {
@@ -43,28 +43,28 @@
 let calmMs = 0;
 
 async function runCase(
-  world: DrillWorld,
+  deployment: DrillDeployment,
   drillCase: DrillCase,
 ): Promise<DrillLine> {
   const startMs = Date.now();
   const signal = AbortSignal.timeout(CASE_TIMEOUT_MS);
-  const app = new DrillApp(world);
-  const steps = TRAINERS.map(tenant => runTrainer(world, tenant, signal));
-  await sleep(UNDER_WAY_MS);
-  world.publishWeights();
+  const app = new DrillApp(deployment);
+  const steps = TRAINERS.map(tenant => runTrainer(deployment, tenant, signal));
+  await sleep(FAULT_DELAY_MS);
+  deployment.publishWeights();
   const errors: string[] = [];
-  const figures = await drillCase.run(world).catch((err: Error) => {
+  const figures = await drillCase.run(deployment).catch((err: Error) => {
     errors.push(err.message);
     return {};
   });
   const trainers = await Promise.all(steps);
   const appResult = await app.stop();
-  await restore(world);
+  await restore(deployment);
   errors.push(...trainers.flatMap(trainer => trainer.error ?? []));
   const seconds = (Date.now() - startMs) / 1000;
-  const {engines} = world.standins;
+  const {engines} = deployment.standIns;
   const weightVersions = [
-    world.weightVersion,
+    deployment.weightVersion,
     ...engines.map(engine => engine.readWeightVersion()),
   ];
   const line = summarize(drillCase, figures, trainers, appResult, errors);
@@ -113,21 +113,21 @@
     ['overStale', line.overStale > 0],
     ['cutOff', line.cutOff > 0],
     ['falseRefusals', line.falseRefusals > 0],
-    ['configSecondsToAll', config > CONFIG_BOUND_SECONDS],
+    ['configSecondsToAll', config > MAX_CONFIG_SECONDS],
     ['newWorkAfterLeaving', (line.newWorkAfterLeaving ?? 0) > 0],
     ['oneWinner', line.oneWinner === false],
     ['exitCodes', (line.exitCodes ?? []).some(code => code !== 0)],
     ['case', line.errors.length > 0],
   ];
-  return checks.filter(([, broken]) => broken).map(([name]) => name);
+  return checks.filter(([, isBroken]) => isBroken).map(([name]) => name);
 }
 
 /** Whatever a case left broken must not spoil the next. */
-async function restore(world: DrillWorld): Promise<void> {
-  const {log, engines} = world.standins;
+async function restore(deployment: DrillDeployment): Promise<void> {
+  const {log, engines} = deployment.standIns;
   log.faults.clear();
   for (const engine of engines) engine.faults.clear();
-  for (const vm of world.vms) {
+  for (const vm of deployment.vms) {
     vm.resume();
     if (await vm.isReady()) continue;
     await vm.kill();
@@ -136,21 +136,21 @@
 }
 
 async function run(names: readonly string[]): Promise<boolean> {
-  const world = await DrillWorld.start();
-  let whole = true;
+  const deployment = await DrillDeployment.start();
+  let hasPassed = true;
   try {
-    await Promise.all(world.vms.map(vm => vm.start()));
+    await Promise.all(deployment.vms.map(vm => vm.start()));
     for (const drillCase of DRILL_CASES) {
-      const wanted = names.length === 0 || names.includes(drillCase.name);
-      if (!wanted && drillCase.name !== 'calm') continue;
-      const line = await runCase(world, drillCase);
+      const isSelected = names.length === 0 || names.includes(drillCase.name);
+      if (!isSelected && drillCase.name !== 'calm') continue;
+      const line = await runCase(deployment, drillCase);
       process.stdout.write(`${JSON.stringify(line)}\n`);
-      whole &&= line.broken.length === 0;
+      hasPassed &&= line.broken.length === 0;
     }
   } finally {
-    await world.stop();
+    await deployment.stop();
   }
-  return whole;
+  return hasPassed;
 }
 
 const cli = cac('drill');
--- a/packages/bench/src/drill_cases.ts
+++ b/packages/bench/src/drill_cases.ts
@@ -1,7 +1,7 @@
 /** The drill's cases: what is broken while two steps and an app run. */
 
 import {sleep} from './drill_vm.js';
-import type {DrillWorld} from './drill_world.js';
+import type {DrillDeployment} from './drill_deployment.js';
 
 /** What a case measures besides what the callers see. */
 export interface CaseFigures {
@@ -20,14 +20,14 @@
   /** Whether no request in flight may be cut off. */
   readonly graceful: boolean;
   /** Breaks something; called when the steps are well under way. */
-  readonly run: (world: DrillWorld) => Promise<CaseFigures>;
+  readonly run: (deployment: DrillDeployment) => Promise<CaseFigures>;
 }
 
 /** Over the session's time to live, so that leases lapse. */
 const PAUSE_MS = 9000;
 const OUTAGE_MS = 4000;
 const LEAVING_GRACE_MS = 3000;
-const LEAVING_WATCH_MS = 3000;
+const LEAVING_OBSERVATION_MS = 3000;
 const TAKEOVER_TIMEOUT_MS = 20_000;
 const POLL_MS = 50;
 
@@ -40,26 +40,31 @@
   {name: 'log_outage', graceful: true, run: interruptLog},
   {name: 'silent_connections', graceful: true, run: silenceLog},
   {name: 'operators_race', graceful: true, run: raceOperators},
-  {name: 'endpoint_leaves', graceful: true, run: leaveEndpoint},
+  {name: 'endpoint_leaves', graceful: true, run: removeEndpoint},
 ];
 
-async function killOwner(world: DrillWorld): Promise<CaseFigures> {
-  const {lease, vm: id} = findOwner(world);
-  const vm = world.findVm(id)!;
+async function killOwner(deployment: DrillDeployment): Promise<CaseFigures> {
+  const {lease, vm: id} = findOwner(deployment);
+  const vm = deployment.findVm(id)!;
   const killedAtMs = Date.now();
   await vm.kill();
-  const takeoverSeconds = await measureTakeover(world, lease, id, killedAtMs);
+  const takeoverSeconds = await measureTakeover(
+    deployment,
+    lease,
+    id,
+    killedAtMs,
+  );
   await vm.start();
   return {takeoverSeconds};
 }
 
-async function pauseOwner(world: DrillWorld): Promise<CaseFigures> {
-  const {lease, vm: id} = findOwner(world);
-  const vm = world.findVm(id)!;
+async function pauseOwner(deployment: DrillDeployment): Promise<CaseFigures> {
+  const {lease, vm: id} = findOwner(deployment);
+  const vm = deployment.findVm(id)!;
   const pausedAtMs = Date.now();
   vm.pause();
   vm.inRotation = false;
-  const takeover = measureTakeover(world, lease, id, pausedAtMs);
+  const takeover = measureTakeover(deployment, lease, id, pausedAtMs);
   await sleep(PAUSE_MS);
   vm.resume();
   const takeoverSeconds = await takeover;
@@ -67,26 +72,31 @@
   return {takeoverSeconds};
 }
 
-async function replaceAll(world: DrillWorld): Promise<CaseFigures> {
+async function replaceAll(deployment: DrillDeployment): Promise<CaseFigures> {
   const exitCodes: Array<number | null> = [];
-  for (const vm of world.vms) {
+  for (const vm of deployment.vms) {
     exitCodes.push(await vm.drain());
     await vm.start();
   }
   return {exitCodes};
 }
 
-async function killAll(world: DrillWorld): Promise<CaseFigures> {
-  const {lease} = findOwner(world);
+async function killAll(deployment: DrillDeployment): Promise<CaseFigures> {
+  const {lease} = findOwner(deployment);
   const killedAtMs = Date.now();
-  await Promise.all(world.vms.map(vm => vm.kill()));
-  await Promise.all(world.vms.map(vm => vm.start()));
-  const takeoverSeconds = await measureTakeover(world, lease, '', killedAtMs);
+  await Promise.all(deployment.vms.map(vm => vm.kill()));
+  await Promise.all(deployment.vms.map(vm => vm.start()));
+  const takeoverSeconds = await measureTakeover(
+    deployment,
+    lease,
+    '',
+    killedAtMs,
+  );
   return {takeoverSeconds};
 }
 
-async function interruptLog(world: DrillWorld): Promise<CaseFigures> {
-  const {faults} = world.standins.log;
+async function interruptLog(deployment: DrillDeployment): Promise<CaseFigures> {
+  const {faults} = deployment.standIns.log;
   faults.set({kind: 'outage'});
   await sleep(OUTAGE_MS);
   faults.clear();
@@ -94,62 +104,66 @@
 }
 
 /** All open connections of the log and of an engine go silent at once. */
-async function silenceLog(world: DrillWorld): Promise<CaseFigures> {
-  const before = await world.readConfigVersion(world.vms[0]);
-  const {log, engines} = world.standins;
+async function silenceLog(deployment: DrillDeployment): Promise<CaseFigures> {
+  const before = await deployment.readConfigVersion(deployment.vms[0]);
+  const {log, engines} = deployment.standIns;
   log.faults.set({kind: 'silent', connections: 'open'});
   engines[0].faults.set({kind: 'silent', connections: 'open'});
-  const version = world.publishConfig(before, 'operator');
-  const configSecondsToAll = await world.measureConfigSeconds(version);
+  const version = deployment.publishConfig(before, 'operator');
+  const configSecondsToAll = await deployment.measureConfigSeconds(version);
   log.faults.clear();
   engines[0].faults.clear();
   return {configSecondsToAll};
 }
 
-async function raceOperators(world: DrillWorld): Promise<CaseFigures> {
-  const before = await world.readConfigVersion(world.vms[0]);
-  const winner = world.publishConfig(before, 'first operator');
-  world.publishConfig(before, 'second operator');
-  const configSecondsToAll = await world.measureConfigSeconds(winner);
+async function raceOperators(
+  deployment: DrillDeployment,
+): Promise<CaseFigures> {
+  const before = await deployment.readConfigVersion(deployment.vms[0]);
+  const winner = deployment.publishConfig(before, 'first operator');
+  deployment.publishConfig(before, 'second operator');
+  const configSecondsToAll = await deployment.measureConfigSeconds(winner);
   // Time in which the second record, too, has reached every VM.
   await sleep(1000);
   const versions = await Promise.all(
-    world.vms.map(vm => world.readConfigVersion(vm)),
+    deployment.vms.map(vm => deployment.readConfigVersion(vm)),
   );
   const oneWinner = versions.every(version => version === winner);
   return {configSecondsToAll, oneWinner};
 }
 
-async function leaveEndpoint(world: DrillWorld): Promise<CaseFigures> {
-  const [engine] = world.standins.engines;
-  world.setEngineState(0, 'leaving');
+async function removeEndpoint(
+  deployment: DrillDeployment,
+): Promise<CaseFigures> {
+  const [engine] = deployment.standIns.engines;
+  deployment.setEngineState(0, 'leaving');
   engine.faults.set({kind: 'leaving'});
   await sleep(LEAVING_GRACE_MS);
   const sinceMs = Date.now();
-  await sleep(LEAVING_WATCH_MS);
+  await sleep(LEAVING_OBSERVATION_MS);
   const runs = engine.listRuns().filter(run => run.startedAtMs >= sinceMs);
   engine.faults.clear();
-  world.setEngineState(0, 'live');
+  deployment.setEngineState(0, 'live');
   return {newWorkAfterLeaving: runs.length};
 }
 
 /** The newest claim on a step. */
-function findOwner(world: DrillWorld) {
-  const claim = world.listStepClaims().at(-1);
+function findOwner(deployment: DrillDeployment) {
+  const claim = deployment.listStepClaims().at(-1);
   if (!claim) throw new Error('no VM owns a step');
   return claim;
 }
 
 /** Seconds from `sinceMs` until a VM other than `oldOwner` claims the lease. */
 async function measureTakeover(
-  world: DrillWorld,
+  deployment: DrillDeployment,
   lease: string,
   oldOwner: string,
   sinceMs: number,
 ): Promise<number | undefined> {
   const endMs = Date.now() + TAKEOVER_TIMEOUT_MS;
   while (Date.now() < endMs) {
-    const claim = world
+    const claim = deployment
       .listStepClaims()
       .find(c => c.lease === lease && c.vm !== oldOwner && c.timeMs > sinceMs);
     if (claim) return (claim.timeMs - sinceMs) / 1000;
--- a/packages/bench/src/drill_world.ts
+++ b/packages/bench/src/drill_deployment.ts
@@ -33,7 +33,7 @@
 const ENGINES = 3;
 const SERVICES = 2;
 const FIRST_VERSION = 1;
-const LIST_LAG_MS = 2000;
+const VM_LIST_LAG_MS = 2000;
 const POLL_MS = 50;
 const PROBE_TIMEOUT_MS = 1000;
 
@@ -65,7 +65,7 @@
 then.max_staleness = 4
 `;
 
-interface Standins {
+interface DrillStandIns {
   readonly log: FakeLog;
   readonly vmList: FakeVmList;
   readonly weightStore: FakeWeightStore;
@@ -73,43 +73,43 @@
   readonly services: readonly FakeService[];
 }
 
-export class DrillWorld {
+export class DrillDeployment {
   /** The trainers' present weight version. */
   weightVersion = FIRST_VERSION;
-  private publications = 0;
+  private publicationCount = 0;
 
   private constructor(
-    readonly standins: Standins,
+    readonly standIns: DrillStandIns,
     readonly vms: readonly DrillVm[],
     private readonly endpoints: readonly EndpointInfo[],
   ) {}
 
-  static async start(): Promise<DrillWorld> {
-    const standins = await startStandins();
-    const endpoints = describeEndpoints(standins);
+  static async start(): Promise<DrillDeployment> {
+    const standIns = await startStandIns();
+    const endpoints = describeEndpoints(standIns);
     const directory = mkdtempSync(join(tmpdir(), 'radishyoke-drill-'));
     const platform = {
-      log: standins.log.address,
-      vmList: standins.vmList.address,
-      weightStore: standins.weightStore.address,
+      log: standIns.log.address,
+      vmList: standIns.vmList.address,
+      weightStore: standIns.weightStore.address,
     };
     const vms = await Promise.all(
       Array.from({length: VMS}, (_, i) =>
         DrillVm.create(i, directory, platform),
       ),
     );
-    standins.vmList.update({vms: vms.map(vm => vm.info), endpoints});
-    standins.vmList.faults.set({kind: 'lag', lagMs: LIST_LAG_MS});
-    const world = new DrillWorld(standins, vms, endpoints);
-    world.publishConfig(-1, 'first');
-    return world;
+    standIns.vmList.update({vms: vms.map(vm => vm.info), endpoints});
+    standIns.vmList.faults.set({kind: 'lag', lagMs: VM_LIST_LAG_MS});
+    const deployment = new DrillDeployment(standIns, vms, endpoints);
+    deployment.publishConfig(-1, 'first');
+    return deployment;
   }
 
   async stop(): Promise<void> {
     await Promise.all(this.vms.map(vm => vm.kill()));
-    const {log, vmList, weightStore, engines, services} = this.standins;
+    const {log, vmList, weightStore, engines, services} = this.standIns;
     const all = [log, vmList, weightStore, ...engines, ...services];
-    await Promise.all(all.map(standin => standin.close()));
+    await Promise.all(all.map(standIn => standIn.close()));
   }
 
   listOrigins(): readonly string[] {
@@ -119,7 +119,7 @@
   /** Trainers have new weights. */
   publishWeights(): void {
     this.weightVersion++;
-    this.standins.weightStore.publish(MODEL, this.weightVersion);
+    this.standIns.weightStore.publish(MODEL, this.weightVersion);
   }
 
   /** An operator's publication; returns its offset. */
@@ -128,7 +128,7 @@
       kind: 'config_published',
       stamp: {
         vm: toVmId('operator'),
-        incarnation: toIncarnationId(`publication-${++this.publications}`),
+        incarnation: toIncarnationId(`publication-${++this.publicationCount}`),
         seq: 1,
       },
       team: toTeamId('kodkutu'),
@@ -136,7 +136,7 @@
       author,
       text: RULES,
     };
-    const answer = this.standins.log.model.append(
+    const answer = this.standIns.log.model.append(
       'config',
       [record],
       Date.now(),
@@ -180,7 +180,7 @@
     readonly vm: string;
     readonly timeMs: number;
   }> {
-    const page = this.standins.log.model.read('state', 0, 1e6, Date.now());
+    const page = this.standIns.log.model.read('state', 0, 1e6, Date.now());
     if (page.kind !== 'records') return [];
     const records = page.records as ReadonlyArray<LoggedRecord<StateRecord>>;
     return records.flatMap(({timeMs, value}) =>
@@ -196,11 +196,11 @@
 
   /** Shows an engine as leaving, or as live again. */
   setEngineState(index: number, state: EndpointInfo['state']): void {
-    this.standins.vmList.putEndpoint({...this.endpoints[index], state});
+    this.standIns.vmList.putEndpoint({...this.endpoints[index], state});
   }
 }
 
-async function startStandins(): Promise<Standins> {
+async function startStandIns(): Promise<DrillStandIns> {
   const weightStore = await startFakeWeightStore();
   weightStore.publish(MODEL, FIRST_VERSION);
   const engines = Array.from({length: ENGINES}, () =>
@@ -223,9 +223,9 @@
   };
 }
 
-function describeEndpoints(standins: Standins): readonly EndpointInfo[] {
+function describeEndpoints(standIns: DrillStandIns): readonly EndpointInfo[] {
   const common = {state: 'live', checksFencing: true} as const;
-  const engines = standins.engines.map(({address}, i): EndpointInfo => ({
+  const engines = standIns.engines.map(({address}, i): EndpointInfo => ({
     ...common,
     id: toEndpointId(`tutor-${i}`),
     kind: 'engine',
@@ -234,7 +234,7 @@
     group: 'tutors',
     model: MODEL,
   }));
-  const services = standins.services.map(({address}, i): EndpointInfo => ({
+  const services = standIns.services.map(({address}, i): EndpointInfo => ({
     ...common,
     id: toEndpointId(`app-${i}`),
     kind: 'service',
--- a/packages/bench/src/drill_load.ts
+++ b/packages/bench/src/drill_load.ts
@@ -7,7 +7,7 @@
 import {toStepId, toTenantId} from '@radishyoke/shared/ids';
 import {measureStaleness, StepRequest} from '@radishyoke/shared/rollout';
 import {sleep} from './drill_vm.js';
-import {DrillWorld, MODEL} from './drill_world.js';
+import {DrillDeployment, MODEL} from './drill_deployment.js';
 
 const GROUPS = 4;
 const SAMPLES_PER_GROUP = 8;
@@ -29,12 +29,12 @@
 
 /** Runs one step to its end, or until `signal`. */
 export async function runTrainer(
-  world: DrillWorld,
+  deployment: DrillDeployment,
   tenant: string,
   signal: AbortSignal,
 ): Promise<TrainerResult> {
   const step = toStepId(`step-${randomUUID()}`);
-  const origins = rotate(world.listOrigins(), tenant.length);
+  const origins = rotate(deployment.listOrigins(), tenant.length);
   const client = new TrainerClient({origins, tenant: toTenantId(tenant)});
   const received = new Map<string, number>();
   const shortfalls = new Set<string>();
@@ -42,11 +42,14 @@
   const startMs = Date.now();
   const result = await client.runStep({
     step,
-    req: createStep(world.weightVersion),
-    readWeightVersion: () => world.weightVersion,
+    req: createStep(deployment.weightVersion),
+    readWeightVersion: () => deployment.weightVersion,
     onRollout: rollout => {
       received.set(rollout.id, (received.get(rollout.id) ?? 0) + 1);
-      const staleness = measureStaleness(rollout.spans, world.weightVersion);
+      const staleness = measureStaleness(
+        rollout.spans,
+        deployment.weightVersion,
+      );
       if (staleness > MAX_STALENESS) overStale++;
     },
     onShortfall: id => shortfalls.add(id),
@@ -95,43 +98,43 @@
   readonly failures: readonly string[];
 }
 
-const CALL_EVERY_MS = 40;
-const ORDER_EVERY = 4;
-const TRIES = 40;
+const CALL_INTERVAL_MS = 40;
+const CALLS_PER_ORDER = 4;
+const MAX_TRIES = 40;
 const RETRY_MS = 100;
 const CALL_TIMEOUT_MS = 12_000;
 
-type CallEnd = 'done' | 'not_run' | 'cut_off' | 'unknown';
+type CallOutcome = 'done' | 'not_run' | 'cut_off' | 'unknown';
 
 /** Calls steadily through the balancer until told to stop. */
 export class DrillApp {
-  private readonly ends = new Map<string, CallEnd>();
-  private readonly open = new Set<Promise<void>>();
+  private readonly outcomes = new Map<string, CallOutcome>();
+  private readonly openCalls = new Set<Promise<void>>();
   private readonly failures = new Set<string>();
-  private turn = 0;
-  private running = true;
+  private attemptCount = 0;
+  private isRunning = true;
 
-  constructor(private readonly world: DrillWorld) {
+  constructor(private readonly deployment: DrillDeployment) {
     void this.run();
   }
 
   async stop(): Promise<AppResult> {
-    this.running = false;
-    await Promise.all(this.open);
-    const calls = [...this.ends];
-    const count = (end: CallEnd) =>
-      calls.filter(([, found]) => found === end).length;
-    const runs = (id: string) =>
-      this.world.standins.services
+    this.isRunning = false;
+    await Promise.all(this.openCalls);
+    const calls = [...this.outcomes];
+    const count = (outcome: CallOutcome) =>
+      calls.filter(([, found]) => found === outcome).length;
+    const countRuns = (id: string) =>
+      this.deployment.standIns.services
         .map(service => service.countCalls(id))
         .reduce((a, b) => a + b, 0);
     const orders = calls.filter(([id]) => id.startsWith('order-'));
     return {
       calls: calls.length,
       cutOff: count('cut_off'),
-      doubled: orders.filter(([id]) => runs(id) > 1).length,
+      doubled: orders.filter(([id]) => countRuns(id) > 1).length,
       falseRefusals: orders.filter(
-        ([id, end]) => end === 'not_run' && runs(id) > 0,
+        ([id, outcome]) => outcome === 'not_run' && countRuns(id) > 0,
       ).length,
       failed: calls.length - count('done'),
       failures: [...this.failures],
@@ -139,19 +142,20 @@
   }
 
   private async run(): Promise<void> {
-    for (let i = 0; this.running; i++) {
-      const call = i % ORDER_EVERY === 0 ? this.order() : this.look();
-      this.open.add(call);
-      void call.then(() => this.open.delete(call));
-      await sleep(CALL_EVERY_MS);
+    for (let i = 0; this.isRunning; i++) {
+      const pendingCall =
+        i % CALLS_PER_ORDER === 0 ? this.placeOrder() : this.readLesson();
+      this.openCalls.add(pendingCall);
+      void pendingCall.then(() => this.openCalls.delete(pendingCall));
+      await sleep(CALL_INTERVAL_MS);
     }
   }
 
-  private order(): Promise<void> {
+  private placeOrder(): Promise<void> {
     return this.call('POST', '/orders', `order-${randomUUID()}`);
   }
 
-  private look(): Promise<void> {
+  private readLesson(): Promise<void> {
     return this.call('GET', '/lessons/1', `look-${randomUUID()}`);
   }
 
@@ -161,19 +165,19 @@
     path: string,
     id: string,
   ): Promise<void> {
-    let end: CallEnd = 'not_run';
-    for (let i = 0; i < TRIES && end === 'not_run'; i++) {
+    let outcome: CallOutcome = 'not_run';
+    for (let i = 0; i < MAX_TRIES && outcome === 'not_run'; i++) {
       if (i > 0) await sleep(RETRY_MS);
-      end = await this.callOnce(method, path, id);
+      outcome = await this.callOnce(method, path, id);
     }
-    this.ends.set(id, end);
+    this.outcomes.set(id, outcome);
   }
 
   private async callOnce(
     method: 'GET' | 'POST',
     path: string,
     id: string,
-  ): Promise<CallEnd> {
+  ): Promise<CallOutcome> {
     const origin = this.chooseOrigin();
     if (!origin) return 'not_run';
     try {
@@ -202,8 +206,8 @@
   }
 
   private chooseOrigin(): string | undefined {
-    const ready = this.world.vms.filter(vm => vm.inRotation);
-    return ready[this.turn++ % Math.max(1, ready.length)]?.origin;
+    const ready = this.deployment.vms.filter(vm => vm.inRotation);
+    return ready[this.attemptCount++ % Math.max(1, ready.length)]?.origin;
   }
 }
 
--- a/packages/bench/src/drill_vm.ts
+++ b/packages/bench/src/drill_vm.ts
@@ -17,7 +17,7 @@
 const READY_TIMEOUT_MS = 20_000;
 const POLL_MS = 50;
 const PROBE_TIMEOUT_MS = 400;
-const BALANCER_POLL_MS = 100;
+const BALANCER_POLL_INTERVAL_MS = 100;
 
 /** Addresses of the platform's stand-ins. */
 export interface PlatformAddresses {
@@ -44,7 +44,7 @@
     directory: string,
     platform: PlatformAddresses,
   ): Promise<DrillVm> {
-    const [caller, peer, admin] = await takeFreePorts(3);
+    const [caller, peer, admin] = await findFreePorts(3);
     const info: VmInfo = {
       id: toVmId(`entry-${index}`),
       peerAddress: `127.0.0.1:${peer}`,
@@ -122,10 +122,11 @@
   /** Asks the process to leave; resolves with its exit code. */
   async drain(): Promise<number | null> {
     this.child?.kill('SIGTERM');
-    let left = false;
-    const exited = this.exited.finally(() => (left = true));
+    let hasExited = false;
+    const exited = this.exited.finally(() => (hasExited = true));
     // As a balancer does: it asks now and then, and learns late.
-    while (!left && (await this.isReady())) await sleep(BALANCER_POLL_MS);
+    while (!hasExited && (await this.isReady()))
+      await sleep(BALANCER_POLL_INTERVAL_MS);
     this.inRotation = false;
     return exited;
   }
@@ -161,7 +162,7 @@
 }
 
 /** Ports free a moment ago; the VM takes them soon after. */
-async function takeFreePorts(count: number): Promise<readonly number[]> {
+async function findFreePorts(count: number): Promise<readonly number[]> {
   const servers = await Promise.all(
     Array.from({length: count}, async () => {
       const server = createServer();
--- a/packages/bench/src/herding.ts
+++ b/packages/bench/src/herding.ts
@@ -28,8 +28,8 @@
 const ENGINES = 6;
 /** What runs on all engines but the first, which has just come back idle. */
 const REPORTED_RUNNING = 12;
-const WORKS_PER_ROUTER = 12;
-const WORK_EVERY_MS = 100;
+const WORK_ITEMS_PER_ROUTER = 12;
+const WORK_ITEM_INTERVAL_MS = 100;
 const SEEDS = 10;
 
 /** What each engine has after the burst, before any new report. */
@@ -45,14 +45,14 @@
 /** Takes the endpoint whose report shows least; what herding looks like. */
 class LeastReportedScheduler extends Scheduler {
   private readonly reports = new Map<EndpointId, LoadReport>();
-  private works = 0;
+  private workItemCount = 0;
 
   handle(event: SchedulerEvent): readonly SchedulerAction[] {
     if (event.kind === 'load') {
       this.reports.set(event.report.endpoint, event.report);
     }
     if (event.kind !== 'enqueue') return [];
-    this.works++;
+    this.workItemCount++;
     const [least] = [...this.reports.values()].sort(
       (a, b) => a.running - b.running,
     );
@@ -62,7 +62,7 @@
   }
 
   countWorkItems(): number {
-    return this.works;
+    return this.workItemCount;
   }
 
   listEndpoints(): readonly EndpointStatus[] {
@@ -70,9 +70,12 @@
   }
 }
 
-type Create = (config: SchedulerConfig, seed: number) => Scheduler;
+type CreateBurstScheduler = (
+  config: SchedulerConfig,
+  seed: number,
+) => Scheduler;
 
-const CONTENDERS: Readonly<Record<string, Create>> = {
+const SCHEDULERS: Readonly<Record<string, CreateBurstScheduler>> = {
   naive: () => new NaiveScheduler(),
   least_reported: () => new LeastReportedScheduler(),
   present: (config, seed) =>
@@ -80,7 +83,7 @@
 };
 
 export function* runHerding(): Generator<HerdingLine> {
-  for (const [scheduler, create] of Object.entries(CONTENDERS)) {
+  for (const [scheduler, create] of Object.entries(SCHEDULERS)) {
     let fullestToMean = 0;
     let idleEngineShare = 0;
     for (let seed = 1; seed <= SEEDS; seed++) {
@@ -88,7 +91,7 @@
       const totals = counts.map((n, i) => n + (i === 0 ? 0 : REPORTED_RUNNING));
       const mean = totals.reduce((a, b) => a + b, 0) / totals.length;
       fullestToMean = Math.max(fullestToMean, Math.max(...totals) / mean);
-      idleEngineShare += counts[0] / (ROUTERS * WORKS_PER_ROUTER) / SEEDS;
+      idleEngineShare += counts[0] / (ROUTERS * WORK_ITEMS_PER_ROUTER) / SEEDS;
     }
     yield {
       case: 'ten_routers',
@@ -100,7 +103,10 @@
 }
 
 /** How many of the burst each engine got. */
-function runBurst(create: Create, seed: number): readonly number[] {
+function runBurst(
+  create: CreateBurstScheduler,
+  seed: number,
+): readonly number[] {
   const clock = new VirtualClock();
   const counts = Array.from({length: ENGINES}, () => 0);
   const dataCentre = toDataCentreId('gebze-a');
@@ -115,14 +121,14 @@
   );
   const endpoints = Array.from({length: ENGINES}, (_, i) => createEndpoint(i));
   vms.start(endpoints, () => endpoints.map((info, i) => createReport(info, i)));
-  for (let i = 0; i < WORKS_PER_ROUTER; i++) {
-    clock.at(i * WORK_EVERY_MS, () => {
+  for (let i = 0; i < WORK_ITEMS_PER_ROUTER; i++) {
+    clock.scheduleAt(i * WORK_ITEM_INTERVAL_MS, () => {
       for (let vm = 0; vm < ROUTERS; vm++) {
-        vms.tell(vm, {kind: 'enqueue', work: createWork(`${vm}-${i}`)});
+        vms.dispatch(vm, {kind: 'enqueue', work: createWorkItem(`${vm}-${i}`)});
       }
     });
   }
-  clock.run(WORKS_PER_ROUTER * WORK_EVERY_MS + 1000, () => false);
+  clock.run(WORK_ITEMS_PER_ROUTER * WORK_ITEM_INTERVAL_MS + 1000, () => false);
   return counts;
 }
 
@@ -152,7 +158,7 @@
   };
 }
 
-function createWork(id: string): WorkItem {
+function createWorkItem(id: string): WorkItem {
   return {
     id,
     tenant: toTenantId('trainer-0'),
--- a/packages/bench/src/log_outage.ts
+++ b/packages/bench/src/log_outage.ts
@@ -47,18 +47,18 @@
 const SAMPLES = 512;
 const SLOTS = 64;
 const TICK_MS = 100;
-const LIMIT_MS = 1_800_000;
+const STEP_TIMEOUT_MS = 1_800_000;
 const TENANT = toTenantId('tutor');
 const STEP = toStepId('s1');
 const LEASE = `step:${TENANT}/${STEP}`;
 
 /** Ms to generate a sample: 8 to 24 s, and every fortieth takes 60 s more. */
-function lengthOf(sample: number): number {
+function getGenerationMs(sample: number): number {
   const mixed = (sample * 2654435761) % 16_000;
   return 8000 + mixed + (sample % 40 === 39 ? 60_000 : 0);
 }
 
-class Owner {
+class SimulatedOwner {
   unconfirmed = 0;
   wastedMs = 0;
   private readonly queue = Array.from({length: SAMPLES}, (_, i) => i);
@@ -72,7 +72,7 @@
     private readonly policy: OutagePolicy,
   ) {}
 
-  get done(): boolean {
+  get isDone(): boolean {
     return this.received.size === SAMPLES;
   }
 
@@ -80,7 +80,7 @@
     const holds = this.log.holds({lease: LEASE, fencing: this.fencing});
     if (this.policy === 'stop' && !holds) return this.cancelAll(nowMs);
     for (const [sample, startedAtMs] of this.running) {
-      if (nowMs - startedAtMs < lengthOf(sample)) continue;
+      if (nowMs - startedAtMs < getGenerationMs(sample)) continue;
       this.running.delete(sample);
       void this.commit(sample);
     }
@@ -98,7 +98,7 @@
   }
 
   private async commit(sample: number): Promise<void> {
-    if (this.policy === 'trainer_cursor') this.handOver(sample);
+    if (this.policy === 'trainer_cursor') this.deliver(sample);
     const result = await this.log.append({
       kind: 'samples_committed',
       tenant: TENANT,
@@ -117,10 +117,10 @@
     });
     if (!result.ok) return;
     this.confirmed.add(sample);
-    if (this.policy !== 'trainer_cursor') this.handOver(sample);
+    if (this.policy !== 'trainer_cursor') this.deliver(sample);
   }
 
-  private handOver(sample: number): void {
+  private deliver(sample: number): void {
     if (!this.confirmed.has(sample)) this.unconfirmed++;
     this.received.add(sample);
   }
@@ -162,17 +162,17 @@
   try {
     const owner = await openStep(log, clock, policy);
     const startedAtMs = Date.now();
-    let wholeMs = 0;
-    while (!owner.done && wholeMs < LIMIT_MS) {
-      const inOutage =
-        wholeMs >= outageFromMs && wholeMs < outageFromMs + outageMs;
-      client.isDown = inOutage;
+    let elapsedMs = 0;
+    while (!owner.isDone && elapsedMs < STEP_TIMEOUT_MS) {
+      const isInOutage =
+        elapsedMs >= outageFromMs && elapsedMs < outageFromMs + outageMs;
+      client.isDown = isInOutage;
       owner.tick(Date.now());
       await clock.tickAsync(TICK_MS);
-      wholeMs = Date.now() - startedAtMs;
+      elapsedMs = Date.now() - startedAtMs;
     }
     const {unconfirmed, wastedMs} = owner;
-    return {wholeMs, unconfirmed, wastedMs};
+    return {wholeMs: elapsedMs, unconfirmed, wastedMs};
   } finally {
     log.stop();
     clock.uninstall();
@@ -183,7 +183,7 @@
   log: LogTask,
   clock: ReturnType<typeof FakeTimers.install>,
   policy: OutagePolicy,
-): Promise<Owner> {
+): Promise<SimulatedOwner> {
   void log.append({
     kind: 'step_opened',
     tenant: TENANT,
@@ -193,7 +193,7 @@
       model: 'm',
       weightVersion: 1,
       maxStaleness: 1,
-      timeoutMs: LIMIT_MS,
+      timeoutMs: STEP_TIMEOUT_MS,
       groups: [{prompt: 'p', samples: SAMPLES, maxTokens: 100}],
     },
     rule: 'all',
@@ -203,7 +203,7 @@
   await clock.tickAsync(1000);
   const fencing = await claim;
   if (!fencing.ok) throw new Error(fencing.error.detail);
-  return new Owner(log, fencing.value, policy);
+  return new SimulatedOwner(log, fencing.value, policy);
 }
 
 /** The cases that docs/design/ledger.md gives. */
--- a/packages/bench/src/overhead.ts
+++ b/packages/bench/src/overhead.ts
@@ -31,13 +31,13 @@
 const concurrency = 16;
 
 /** What a measured process is asked. */
-type Ask = 'address' | 'cpu';
+type WorkerQuery = 'address' | 'cpu';
 
 /** Runs both in turn, several rounds, and compares the medians. */
 export async function measureOverhead(): Promise<OverheadFigures> {
   const backEnd = await startBackEnd();
-  const baseline = await startMeasured('baseline', backEnd.address);
-  const service = await startMeasured('service', backEnd.address);
+  const baseline = await startMeasuredProcess('baseline', backEnd.address);
+  const service = await startMeasuredProcess('service', backEnd.address);
   const costs = {baseline: [] as Cost[], service: [] as Cost[]};
   await measureCost(baseline);
   await measureCost(service);
@@ -47,44 +47,44 @@
   }
   await Promise.all([baseline.close(), service.close()]);
   backEnd.close();
-  const low = pickMedian(costs.baseline);
-  const high = pickMedian(costs.service);
+  const baselineMedian = pickMedian(costs.baseline);
+  const serviceMedian = pickMedian(costs.service);
   return {
-    baseline: low,
-    service: high,
-    requestRatio: high.requestUs / low.requestUs,
-    tokenRatio: high.tokenUs / low.tokenUs,
+    baseline: baselineMedian,
+    service: serviceMedian,
+    requestRatio: serviceMedian.requestUs / baselineMedian.requestUs,
+    tokenRatio: serviceMedian.tokenUs / baselineMedian.tokenUs,
   };
 }
 
-interface Measured {
+interface MeasuredProcess {
   readonly address: string;
   readCpuUs(): Promise<number>;
   close(): Promise<void>;
 }
 
-async function startMeasured(
+async function startMeasuredProcess(
   kind: 'baseline' | 'service',
   backEnd: string,
-): Promise<Measured> {
+): Promise<MeasuredProcess> {
   const file = fileURLToPath(new URL('./overhead_worker.js', import.meta.url));
   const child = fork(file, [kind, backEnd]);
-  const ask = <T>(question: Ask) =>
+  const query = <T>(message: WorkerQuery) =>
     new Promise<T>(resolve => {
       child.once('message', answer => resolve(answer as T));
-      child.send(question);
+      child.send(message);
     });
-  const address = await ask<string>('address');
+  const address = await query<string>('address');
   return {
     address,
-    readCpuUs: () => ask<number>('cpu'),
+    readCpuUs: () => query<number>('cpu'),
     close: async () => {
       child.kill();
     },
   };
 }
 
-async function measureCost(measured: Measured): Promise<Cost> {
+async function measureCost(measured: MeasuredProcess): Promise<Cost> {
   const agent = new Agent({connections: concurrency});
   const requestUs = await measureCalls(
     measured,
@@ -103,7 +103,7 @@
 }
 
 async function measureCalls(
-  measured: Measured,
+  measured: MeasuredProcess,
   agent: Dispatcher,
   path: string,
   count: number,
--- a/packages/bench/src/overhead_worker.ts
+++ b/packages/bench/src/overhead_worker.ts
@@ -71,11 +71,11 @@
 }
 
 const [, , kind, backEnd] = process.argv;
-const listening =
+const listenAddress =
   kind === 'service' ? startService(backEnd) : startBaseline(backEnd);
 
 process.on('message', async question => {
-  process.send!(question === 'address' ? await listening : readCpuUs());
+  process.send!(question === 'address' ? await listenAddress : readCpuUs());
 });
 process.once('disconnect', () => process.exit());
 
--- a/packages/bench/src/physical_bound.ts
+++ b/packages/bench/src/physical_bound.ts
@@ -22,7 +22,7 @@
   readonly plan: TrainerPlan;
   readonly index: number;
   readonly openedAtMs: number;
-  left: number;
+  tokensLeft: number;
 }
 
 /** Total idle ms of all trainers at `tokensPerMs` of all engines together. */
@@ -30,40 +30,47 @@
   plans: readonly TrainerPlan[],
   tokensPerMs: number,
 ): number {
-  const opening: OpenStep[] = plans.map(plan =>
-    openStep(plan, 0, plan.startAtMs),
+  const upcoming: OpenStep[] = plans.map(plan =>
+    createOpenStep(plan, 0, plan.startAtMs),
   );
   const open: OpenStep[] = [];
   let nowMs = 0;
   let idleMs = 0;
-  while (opening.length + open.length > 0) {
-    opening.sort((a, b) => a.openedAtMs - b.openedAtMs);
-    open.sort((a, b) => a.left - b.left);
-    const nextOpenMs = opening[0]?.openedAtMs ?? Infinity;
-    const first = open[0];
-    const endMs = first ? nowMs + first.left / tokensPerMs : Infinity;
+  while (upcoming.length + open.length > 0) {
+    upcoming.sort((a, b) => a.openedAtMs - b.openedAtMs);
+    open.sort((a, b) => a.tokensLeft - b.tokensLeft);
+    const nextOpenMs = upcoming[0]?.openedAtMs ?? Infinity;
+    const shortest = open[0];
+    const endMs = shortest
+      ? nowMs + shortest.tokensLeft / tokensPerMs
+      : Infinity;
     if (nextOpenMs <= endMs) {
-      if (first) first.left -= (nextOpenMs - nowMs) * tokensPerMs;
+      if (shortest) shortest.tokensLeft -= (nextOpenMs - nowMs) * tokensPerMs;
       nowMs = nextOpenMs;
-      open.push(opening.shift()!);
+      open.push(upcoming.shift()!);
       continue;
     }
     open.shift();
     nowMs = endMs;
-    const {plan, index, openedAtMs} = first;
-    const wholeAtMs = Math.max(endMs, openedAtMs + plan.steps[index].longestMs);
-    idleMs += wholeAtMs - openedAtMs;
+    const {plan, index, openedAtMs} = shortest;
+    const completedAtMs = Math.max(
+      endMs,
+      openedAtMs + plan.steps[index].longestMs,
+    );
+    idleMs += completedAtMs - openedAtMs;
     if (index + 1 < plan.steps.length) {
-      opening.push(openStep(plan, index + 1, wholeAtMs + plan.trainMs));
+      upcoming.push(
+        createOpenStep(plan, index + 1, completedAtMs + plan.trainMs),
+      );
     }
   }
   return idleMs;
 }
 
-function openStep(
+function createOpenStep(
   plan: TrainerPlan,
   index: number,
   openedAtMs: number,
 ): OpenStep {
-  return {plan, index, openedAtMs, left: plan.steps[index].tokens};
+  return {plan, index, openedAtMs, tokensLeft: plan.steps[index].tokens};
 }
--- a/packages/bench/src/slope.ts
+++ b/packages/bench/src/slope.ts
@@ -26,11 +26,11 @@
 export function measureHeapBytes(build: () => unknown): number {
   collectGarbage();
   const before = process.memoryUsage().heapUsed;
-  const kept = build();
+  const built = build();
   collectGarbage();
   const after = process.memoryUsage().heapUsed;
   // Keeps what was built alive until after the second look.
-  return kept === undefined ? 0 : Math.max(0, after - before);
+  return built === undefined ? 0 : Math.max(0, after - before);
 }
 
 /** The middle of several measurements, so that one pause does not count. */
--- a/packages/bench/src/slopes_log.ts
+++ b/packages/bench/src/slopes_log.ts
@@ -83,10 +83,10 @@
 const TEAM = toTeamId('kodkutu');
 const OWNER_VM = toVmId('gebze-a-01');
 const INCARNATION = toIncarnationId('0193a1b2-c3d4');
-const SESSION_RENEWAL_S = 2;
-const ANCHOR_S = 60;
+const SESSION_RENEWAL_INTERVAL_S = 2;
+const AUDIT_ANCHOR_INTERVAL_S = 60;
 const MIN_AUDIT_FLUSH_S = 1;
-const AUDIT_SHARES_PER_FLUSH = 3;
+const APPEND_INTERVALS_PER_AUDIT_FLUSH = 3;
 const DIGEST = 'd'.repeat(64);
 const FOLDED_STEPS = 40;
 const FOLDED_CLAIMS = 50_000;
@@ -110,25 +110,25 @@
 
 function measureRecordBytes(): readonly LogSlope[] {
   const bodies = createStepBodies(toStepId('step-000001'), 0);
-  const named = new Map(bodies.map(body => [body.kind, body]));
+  const bodyByKind = new Map(bodies.map(body => [body.kind, body]));
   const claim: StateBody = {
     kind: 'request_claimed',
     tenant: TENANT,
     req: toRequestId('0193a1b2-c3d4-7e5f-8a9b-0c1d2e3f4a5b'),
   };
   const session: StateBody = {kind: 'session', ttlMs: 6000};
-  const records = [...named.values(), claim, session].map(body => ({
+  const records = [...bodyByKind.values(), claim, session].map(body => ({
     name: `record ${body.kind}`,
     unit: 'bytes' as const,
     value: countBytes(toLogged(body, 1)),
   }));
   return [
     ...records,
-    ...measureFurtherSamples(named),
+    ...measureFurtherSamples(bodyByKind),
     {
       name: 'record config_published',
       unit: 'bytes',
-      value: countBytes(publish(0, NO_VERSION)),
+      value: countBytes(createConfigRecord(0, NO_VERSION)),
     },
     {name: 'audit entry', unit: 'bytes', value: measureAuditEntry()},
   ];
@@ -136,10 +136,10 @@
 
 /** Bytes that each further sample adds to a record that holds several. */
 function measureFurtherSamples(
-  named: ReadonlyMap<string, StateBody>,
+  bodyByKind: ReadonlyMap<string, StateBody>,
 ): readonly LogSlope[] {
-  const started = named.get('attempts_started');
-  const committed = named.get('samples_committed');
+  const started = bodyByKind.get('attempts_started');
+  const committed = bodyByKind.get('samples_committed');
   if (started?.kind !== 'attempts_started') return [];
   if (committed?.kind !== 'samples_committed') return [];
   return [
@@ -217,16 +217,20 @@
     {kind: 'lease_claimed', lease: `step:${TENANT}/${step}`},
   ];
   for (let i = 0; i < samplesPerStep; i++) {
-    const at = {group: Math.floor(i / perGroup), sample: i % perGroup};
+    const position = {group: Math.floor(i / perGroup), sample: i % perGroup};
     bodies.push(
       {
         kind: 'attempts_started',
         ...owner,
         attempts: [
-          {...at, attempt: 1, endpoint: toEndpointId('gebze-a-engine-1')},
+          {...position, attempt: 1, endpoint: toEndpointId('gebze-a-engine-1')},
         ],
       },
-      {kind: 'samples_committed', ...owner, samples: [commit(at)]},
+      {
+        kind: 'samples_committed',
+        ...owner,
+        samples: [createSampleCommit(position)],
+      },
       {
         kind: 'cursor_acknowledged',
         ...owner,
@@ -240,9 +244,12 @@
 
 type StateStep = ReturnType<typeof toStepId>;
 
-function commit(at: {group: number; sample: number}): SampleCommit {
+function createSampleCommit(position: {
+  group: number;
+  sample: number;
+}): SampleCommit {
   return {
-    ...at,
+    ...position,
     attempt: 1,
     endpoint: toEndpointId('gebze-a-engine-1'),
     spans: [{weightVersion: 12, tokens: 400}],
@@ -256,7 +263,10 @@
   return {offset: seq - 1, timeMs: 1_700_000_000_000 + seq, value};
 }
 
-function publish(offset: number, basedOn: number): LoggedRecord<ConfigRecord> {
+function createConfigRecord(
+  offset: number,
+  basedOn: number,
+): LoggedRecord<ConfigRecord> {
   const [{configChars}] = LOG_LOADS as [LogLoad];
   const stamp = {vm: OWNER_VM, incarnation: INCARNATION, seq: offset + 1};
   return {
@@ -275,7 +285,7 @@
 
 /** Time to parse and fold, as a reader has to. */
 function measureFold(): readonly LogSlope[] {
-  const lines = createStream().map(record => JSON.stringify(record));
+  const lines = createStateRecords().map(record => JSON.stringify(record));
   // The first pass warms the compiler up.
   foldLines(lines);
   const before = process.cpuUsage();
@@ -285,7 +295,7 @@
   return [{name: 'parse and fold one state record', unit: 'us', value}];
 }
 
-function createStream(): Array<LoggedRecord<StateRecord>> {
+function createStateRecords(): Array<LoggedRecord<StateRecord>> {
   const records: Array<LoggedRecord<StateRecord>> = [];
   const add = (body: StateBody) =>
     records.push(toLogged(body, records.length + 1));
@@ -305,8 +315,8 @@
 }
 
 function measureMemory(): readonly LogSlope[] {
-  const stream = createStream().map(record => JSON.stringify(record));
-  const step = measureHeap(() => foldLines(stream)) / FOLDED_STEPS;
+  const lines = createStateRecords().map(record => JSON.stringify(record));
+  const step = measureHeap(() => foldLines(lines)) / FOLDED_STEPS;
   const claims = measureHeap(foldClaims) / FOLDED_CLAIMS;
   const versions = measureHeap(foldVersions);
   return [
@@ -334,7 +344,7 @@
   const history = new ConfigHistory(() => undefined);
   for (let i = 0; i < FOLDED_VERSIONS; i++) {
     const basedOn = i < 20 ? NO_VERSION : i - 20;
-    history.apply(JSON.parse(JSON.stringify(publish(i, basedOn))));
+    history.apply(JSON.parse(JSON.stringify(createConfigRecord(i, basedOn))));
   }
   return history;
 }
@@ -345,10 +355,10 @@
   const collect = runInNewContext('gc') as () => void;
   collect();
   const before = process.memoryUsage().heapUsed;
-  const held = build();
+  const built = build();
   collect();
   const after = process.memoryUsage().heapUsed;
-  return held === undefined ? 0 : after - before;
+  return built === undefined ? 0 : after - before;
 }
 
 /** What follows for a deployment, records batched as the writer batches them. */
@@ -361,46 +371,47 @@
   const stepsPerS = (load.trainers * MS_PER_S) / load.stepMs;
   const samplesPerS = stepsPerS * load.samplesPerStep;
   const claimsPerS = load.requestsPerSecond * load.claimedShare;
-  const shareS = load.vms / load.appendsPerSecond;
+  const appendIntervalS = load.vms / load.appendsPerSecond;
   const owners = Math.min(load.trainers, load.vms);
-  const perSampleRecords = 3;
+  const recordsPerSample = 3;
   // An owner's records queue for its share; those that queue together go in one.
   const ownerAppends = Math.min(
-    1 / shareS,
-    (samplesPerS * perSampleRecords) / owners + 1 / SESSION_RENEWAL_S,
+    1 / appendIntervalS,
+    (samplesPerS * recordsPerSample) / owners + 1 / SESSION_RENEWAL_INTERVAL_S,
   );
   const auditFlushS = Math.max(
     MIN_AUDIT_FLUSH_S,
-    shareS * AUDIT_SHARES_PER_FLUSH,
+    appendIntervalS * APPEND_INTERVALS_PER_AUDIT_FLUSH,
   );
-  const stateAppends = owners * ownerAppends + claimsPerS + load.vms / ANCHOR_S;
+  const stateAppends =
+    owners * ownerAppends + claimsPerS + load.vms / AUDIT_ANCHOR_INTERVAL_S;
   const appends = stateAppends + load.vms / auditFlushS;
   // What gathers while an owner waits for its share goes into one record a kind.
-  const batchesPerS = Math.min(owners / shareS, samplesPerS);
-  const further = samplesPerS - batchesPerS;
+  const batchesPerS = Math.min(owners / appendIntervalS, samplesPerS);
+  const batchedSamplesPerS = samplesPerS - batchesPerS;
   const stateBytes =
     stepsPerS * bytesOf('record step_opened') +
     batchesPerS *
       (bytesOf('record attempts_started') +
         bytesOf('record samples_committed') +
         bytesOf('record cursor_acknowledged')) +
-    further *
+    batchedSamplesPerS *
       (bytesOf('further sample in attempts_started') +
         bytesOf('further sample in samples_committed')) +
     claimsPerS * bytesOf('record request_claimed') +
-    (owners / SESSION_RENEWAL_S + load.vms / ANCHOR_S) *
+    (owners / SESSION_RENEWAL_INTERVAL_S + load.vms / AUDIT_ANCHOR_INTERVAL_S) *
       bytesOf('record session');
   const configBytes =
     (load.configChangesPerDay / S_PER_DAY) * bytesOf('record config_published');
-  const audited = load.requestsPerSecond + samplesPerS;
-  const auditBytes = (audited / load.vms) * bytesOf('audit entry');
+  const auditEntriesPerS = load.requestsPerSecond + samplesPerS;
+  const auditBytes = (auditEntriesPerS / load.vms) * bytesOf('audit entry');
   const suffix = `at ${load.vms} VMs`;
   return [
     {name: `appends ${suffix}`, unit: 'per_s', value: round(appends)},
     {
       name: `longest wait of a record for its append ${suffix}`,
       unit: 'ms',
-      value: round(shareS * MS_PER_S),
+      value: round(appendIntervalS * MS_PER_S),
     },
     {
       name: `state and config read by each VM ${suffix}`,
--- a/packages/bench/src/slopes_peers.ts
+++ b/packages/bench/src/slopes_peers.ts
@@ -24,26 +24,30 @@
 const CHANGES_PER_SECOND = 10;
 
 /** The data centres of one region. */
-const CUT_OFF: ReadonlySet<string> = new Set(['dc-0', 'dc-1', 'dc-2']);
+const PARTITIONED_DATA_CENTRES: ReadonlySet<string> = new Set([
+  'dc-0',
+  'dc-1',
+  'dc-2',
+]);
 
 export function* measurePeers(): Generator<Slope> {
   // Lets the compiler do its work before anything is timed.
   createNetwork(VM_COUNTS[0]).run(SETTLE_MS);
-  for (const vms of VM_COUNTS) yield* measureQuiet(vms);
-  for (const vms of VM_COUNTS) yield* measureConfigSpread(vms);
-  for (const vms of VM_COUNTS) yield* measureFailure(vms);
-  yield* measureCut(360);
+  for (const vms of VM_COUNTS) yield* measureSteadyState(vms);
+  for (const vms of VM_COUNTS) yield* measureConfigPropagation(vms);
+  for (const vms of VM_COUNTS) yield* measureFailureDetection(vms);
+  yield* measurePartition(360);
 }
 
 /** A network at its ease: nothing fails, load changes. */
-function* measureQuiet(vms: number): Generator<Slope> {
+function* measureSteadyState(vms: number): Generator<Slope> {
   let network!: MembershipNetwork;
   const heap = measureHeapBytes(() => {
     network = createNetwork(vms);
     return network;
   });
   const seconds = Math.ceil(MEASURED_VM_SECONDS / vms);
-  const traffic = watchTraffic(network);
+  const traffic = countTraffic(network);
   const cpuMs = measureCpuMs(() => {
     for (let i = 0; i < seconds; i++) {
       changeLoad(network, i);
@@ -59,7 +63,7 @@
   yield createSlope(`peer_cpu_ms_${vms}`, perSecond(cpuMs), 'ms/s');
   yield createSlope(`peer_heap_${vms}`, heap / vms, 'B');
   network.run(SETTLE_MS);
-  const idle = watchTraffic(network);
+  const idle = countTraffic(network);
   network.run(IDLE_SECONDS * 1000);
   const idleBytes = 2 * (idle.bytes + FRAME_BYTES * idle.messages);
   const idleRate = idleBytes / (vms * IDLE_SECONDS);
@@ -67,10 +71,10 @@
 }
 
 /** From the first VM that knows a config offset to the last. */
-function* measureConfigSpread(vms: number): Generator<Slope> {
+function* measureConfigPropagation(vms: number): Generator<Slope> {
   const network = createNetwork(vms);
   network.silenceConnections(20);
-  const traffic = watchTraffic(network);
+  const traffic = countTraffic(network);
   const [reader] = network.nodes;
   reader.configNext = 1;
   network.handleEvent(reader, {kind: 'config_offset', next: 1});
@@ -83,30 +87,33 @@
 }
 
 /** From the death of a VM to the last VM that counts it out. */
-function* measureFailure(vms: number): Generator<Slope> {
+function* measureFailureDetection(vms: number): Generator<Slope> {
   const network = createNetwork(vms);
-  const dead = network.nodes[1];
-  dead.isUp = false;
+  const failed = network.nodes[1];
+  failed.isUp = false;
   const ms = countMsUntil(network, () =>
     network.nodes.every(
-      node => node === dead || !node.vms.includes(dead.vm.id),
+      node => node === failed || !node.vms.includes(failed.vm.id),
     ),
   );
   yield createSlope(`failure_seen_ms_${vms}`, ms, 'ms');
 }
 
 /** One region of three loses the others for a while. */
-function* measureCut(vms: number): Generator<Slope> {
+function* measurePartition(vms: number): Generator<Slope> {
   const network = createNetwork(vms);
-  const inside = (vm: VmInfo) => CUT_OFF.has(vm.dataCentre);
-  network.canReach = (a, b) => inside(a) === inside(b);
-  const seenMs = countMsUntil(network, () =>
+  const isPartitioned = (vm: VmInfo) =>
+    PARTITIONED_DATA_CENTRES.has(vm.dataCentre);
+  network.canReach = (a, b) => isPartitioned(a) === isPartitioned(b);
+  const detectedMs = countMsUntil(network, () =>
     network.nodes.every(node => {
-      const side = network.nodes.filter(n => inside(n.vm) === inside(node.vm));
+      const side = network.nodes.filter(
+        n => isPartitioned(n.vm) === isPartitioned(node.vm),
+      );
       return node.vms.length === side.length;
     }),
   );
-  yield createSlope(`cut_seen_ms_${vms}`, seenMs, 'ms');
+  yield createSlope(`cut_seen_ms_${vms}`, detectedMs, 'ms');
   network.canReach = () => true;
   const healedMs = countMsUntil(network, () =>
     network.nodes.every(node => node.vms.length === vms),
@@ -134,7 +141,7 @@
 }
 
 /** Runs every message through the codec and counts. */
-function watchTraffic(network: MembershipNetwork) {
+function countTraffic(network: MembershipNetwork) {
   const traffic = {messages: 0, bytes: 0, configBytes: 0};
   network.onMessage = message => {
     const data = encodePeerMessage(message);
@@ -148,9 +155,9 @@
 
 function countMsUntil(
   network: MembershipNetwork,
-  holds: () => boolean,
+  isReached: () => boolean,
 ): number {
   const startMs = network.nowMs;
-  while (!holds() && network.nowMs - startMs < TIMEOUT_MS) network.run(10);
+  while (!isReached() && network.nowMs - startMs < TIMEOUT_MS) network.run(10);
   return network.nowMs - startMs;
 }
--- a/packages/bench/src/slopes_rules.ts
+++ b/packages/bench/src/slopes_rules.ts
@@ -12,7 +12,7 @@
 } from './slope.js';
 
 const RULES = 200;
-const LOOK_UPS = 20_000;
+const LOOKUPS = 20_000;
 const REPEATS = 5;
 
 export function* measureRules(): Generator<Slope> {
@@ -41,9 +41,9 @@
       dataCentre: toDataCentreId('gebze-a'),
     });
   const lookUpMs = measureCpuMs(() => {
-    for (let i = 0; i < LOOK_UPS; i++) lookUp(i);
+    for (let i = 0; i < LOOKUPS; i++) lookUp(i);
   });
-  yield createSlope('rule_look_up_cpu_ms', lookUpMs / LOOK_UPS, 'ms');
+  yield createSlope('rule_look_up_cpu_ms', lookUpMs / LOOKUPS, 'ms');
 }
 
 function createText(rules: number): string {
--- a/packages/bench/src/slopes_streams.ts
+++ b/packages/bench/src/slopes_streams.ts
@@ -20,8 +20,8 @@
 
   override request(): Promise<Dispatcher.ResponseData> {
     const body = Readable.from(this.pieces);
-    const answer = {statusCode: 200, headers: {}, body};
-    return Promise.resolve(answer as unknown as Dispatcher.ResponseData);
+    const response = {statusCode: 200, headers: {}, body};
+    return Promise.resolve(response as unknown as Dispatcher.ResponseData);
   }
 }
 
--- a/packages/bench/src/steps.ts
+++ b/packages/bench/src/steps.ts
@@ -16,13 +16,17 @@
 import {computeBound} from './physical_bound.js';
 import {Deployment, DEPLOYMENTS, FAULT_CASES, FaultCase} from './steps_case.js';
 import type {CreateScheduler} from './steps_vms.js';
-import {createPlans, StepsWorld, WorldResult} from './steps_world.js';
+import {
+  createPlans,
+  StepsSimulation,
+  SimulationResult,
+} from './steps_simulation.js';
 
 const SEEDS = [1, 2, 3, 4, 5, 6, 7, 8, 9, 10] as const;
 const VMS = 4;
 
 /** One way of deciding, under the name it has in the output. */
-export interface Contender {
+export interface SchedulerVariant {
   readonly name: string;
   readonly create: (deployment: Deployment) => CreateScheduler;
 }
@@ -34,10 +38,10 @@
 }
 
 /** A contender that is the policy with some parts changed. */
-export function createPolicyContender(
+export function createPolicyVariant(
   name: string,
   changes: Partial<PolicyOptions>,
-): Contender {
+): SchedulerVariant {
   return {
     name,
     create: deployment => (vm, index) => {
@@ -54,29 +58,29 @@
   };
 }
 
-export const NAIVE: Contender = {
+export const NAIVE_VARIANT: SchedulerVariant = {
   name: 'naive',
   create: () => () => new NaiveScheduler(),
 };
 
-const CONTENDERS: readonly Contender[] = [
-  NAIVE,
-  createPolicyContender('round_start', BASELINE_POLICY),
-  createPolicyContender('present', {}),
+const SCHEDULER_VARIANTS: readonly SchedulerVariant[] = [
+  NAIVE_VARIANT,
+  createPolicyVariant('round_start', BASELINE_POLICY),
+  createPolicyVariant('present', {}),
 ];
 
 /** Runs the chosen cases and yields one line a case and contender. */
 export function* runSteps(
   options: StepsOptions,
-  contenders: readonly Contender[] = CONTENDERS,
+  variants: readonly SchedulerVariant[] = SCHEDULER_VARIANTS,
 ): Generator<object> {
   const seeds = SEEDS.slice(0, options.seeds ?? SEEDS.length);
   for (const deployment of DEPLOYMENTS) {
     if (options.deployment && options.deployment !== deployment.name) continue;
-    const boundMs = measureBound(deployment, seeds);
+    const boundMs = computeMeanBound(deployment, seeds);
     for (const fault of FAULT_CASES) {
       if (options.case && options.case !== fault.name) continue;
-      yield* runCase(deployment, fault, seeds, contenders, boundMs);
+      yield* runCase(deployment, fault, seeds, variants, boundMs);
     }
   }
 }
@@ -85,27 +89,27 @@
   deployment: Deployment,
   fault: FaultCase,
   seeds: readonly number[],
-  contenders: readonly Contender[],
+  variants: readonly SchedulerVariant[],
   boundMs: number,
 ): Generator<object> {
   let naive: Summary | undefined;
-  for (const contender of contenders) {
-    const createScheduler = contender.create(deployment);
+  for (const variant of variants) {
+    const createScheduler = variant.create(deployment);
     const base = {deployment, fault, vms: VMS, createScheduler};
     const results = seeds.map(seed =>
-      new StepsWorld({...base, seed, withRollouts: true}).run(),
+      new StepsSimulation({...base, seed, withRollouts: true}).run(),
     );
-    const alone = new StepsWorld({
+    const appsOnly = new StepsSimulation({
       ...base,
       seed: seeds[0],
       withRollouts: false,
     }).run();
-    const summary = summarize(results, alone);
+    const summary = summarize(results, appsOnly);
     naive ??= summary;
     yield {
       deployment: deployment.name,
       case: fault.name,
-      scheduler: contender.name,
+      scheduler: variant.name,
       idleToNaive: round(summary.idleMs / naive.idleMs),
       idleToBound: round(summary.idleMs / boundMs),
       stalenessMeanToNaive: round(summary.stalenessMean / naive.stalenessMean),
@@ -116,12 +120,15 @@
 
 type Summary = ReturnType<typeof summarize>;
 
-function summarize(results: readonly WorldResult[], alone: WorldResult) {
-  const sum = (pick: (result: WorldResult) => number) =>
+function summarize(
+  results: readonly SimulationResult[],
+  appsOnly: SimulationResult,
+) {
+  const sum = (pick: (result: SimulationResult) => number) =>
     results.reduce((total, result) => total + pick(result), 0);
   const staleness = results.flatMap(result => result.staleness).sort(ascending);
-  const apps = results.flatMap(result => result.appMs).sort(ascending);
-  const hints = results.flatMap(result => result.hintMs).sort(ascending);
+  const appTimes = results.flatMap(result => result.appMs).sort(ascending);
+  const hintTimes = results.flatMap(result => result.hintMs).sort(ascending);
   const delivered = sum(r => r.deliveredTokens);
   return {
     idleMs: Math.round(sum(r => r.idleMs) / results.length),
@@ -132,23 +139,25 @@
       staleness.reduce((a, b) => a + b, 0) / staleness.length,
     ),
     appP99ToAlone: round(
-      quantile(apps, 0.99) / quantile([...alone.appMs].sort(ascending), 0.99),
+      quantile(appTimes, 0.99) /
+        quantile([...appsOnly.appMs].sort(ascending), 0.99),
     ),
     hintP99ToAlone: round(
-      quantile(hints, 0.99) / quantile([...alone.hintMs].sort(ascending), 0.99),
+      quantile(hintTimes, 0.99) /
+        quantile([...appsOnly.hintMs].sort(ascending), 0.99),
     ),
     wastedTokens: round(sum(r => r.generatedTokens) / delivered - 1),
-    brokenPromises: sum(r => r.overBound + r.lost),
+    brokenPromises: sum(r => r.overStale + r.lost),
     gaveUp: addCounts(results.map(result => result.gaveUp)),
-    poisonCrashes: sum(r => r.crashes),
+    poisonCrashes: sum(r => r.poisonCrashes),
   };
 }
 
 function addCounts(
-  all: ReadonlyArray<Readonly<Record<string, number>>>,
+  countsPerRun: ReadonlyArray<Readonly<Record<string, number>>>,
 ): Readonly<Record<string, number>> {
   const total: Record<string, number> = {};
-  for (const counts of all) {
+  for (const counts of countsPerRun) {
     for (const [kind, count] of Object.entries(counts)) {
       total[kind] = (total[kind] ?? 0) + count;
     }
@@ -156,20 +165,21 @@
   return total;
 }
 
-function measureBound(
+function computeMeanBound(
   deployment: Deployment,
   seeds: readonly number[],
 ): number {
   const {maxBatch, decodeBaseMs, decodeSlopeMs} = DEFAULT_ENGINE_OPTIONS;
-  const perEngine = maxBatch / (decodeBaseMs + decodeSlopeMs * maxBatch);
+  const tokensPerMsPerEngine =
+    maxBatch / (decodeBaseMs + decodeSlopeMs * maxBatch);
   const bounds = seeds.map(seed =>
-    computeBound(createPlans(seed), perEngine * deployment.engines),
+    computeBound(createPlans(seed), tokensPerMsPerEngine * deployment.engines),
   );
   return bounds.reduce((a, b) => a + b, 0) / bounds.length;
 }
 
-function quantile(sorted: readonly number[], share: number): number {
-  const index = Math.ceil(sorted.length * share) - 1;
+function quantile(sorted: readonly number[], fraction: number): number {
+  const index = Math.ceil(sorted.length * fraction) - 1;
   return sorted[Math.max(0, index)] ?? 0;
 }
 
--- a/packages/bench/src/steps_case.ts
+++ b/packages/bench/src/steps_case.ts
@@ -40,11 +40,11 @@
   /** An engine crashes this often. */
   readonly crashEveryMs?: number;
   /** Engine 1 never takes new weights. */
-  readonly swapFails?: boolean;
+  readonly isSwapFailing?: boolean;
   /** One sample of each trainer's second step crashes engines. */
-  readonly poison?: boolean;
+  readonly hasPoisonSample?: boolean;
   /** Part of the attempts whose connection goes silent. */
-  readonly silentShare?: number;
+  readonly silentFraction?: number;
   readonly loadLagMs?: number;
   /** Another tenant sends this many samples every minute. */
   readonly floodSamples?: number;
@@ -54,9 +54,9 @@
   {name: 'calm'},
   {name: 'slow_engine', slowFactor: 4},
   {name: 'crash_a_minute', crashEveryMs: 60_000},
-  {name: 'swap_fails', swapFails: true},
-  {name: 'poison', poison: true},
-  {name: 'silent_connections', silentShare: 0.02},
+  {name: 'swap_fails', isSwapFailing: true},
+  {name: 'poison', hasPoisonSample: true},
+  {name: 'silent_connections', silentFraction: 0.02},
   {name: 'late_reports', loadLagMs: 5000},
   {name: 'flood', floodSamples: 400},
 ];
--- a/packages/bench/src/steps_engines.ts
+++ b/packages/bench/src/steps_engines.ts
@@ -28,7 +28,7 @@
   readonly listener: StreamListener;
   readonly spans: Array<{weightVersion: number; tokens: number}>;
   /** Tokens that the request brought. */
-  readonly resumed: number;
+  readonly resumedTokens: number;
   tokens: number;
   /** From when on the connection carries nothing, though it stays open. */
   silentFromMs: number;
@@ -36,111 +36,112 @@
 
 export class StepsEngine {
   private readonly streams = new Map<string, OpenStream>();
-  private wakeAtMs = Infinity;
+  private nextAdvanceAtMs = Infinity;
 
   constructor(
     readonly id: EndpointId,
     readonly model: EngineModel,
     private readonly clock: VirtualClock,
-    private readonly delayMs: number,
+    private readonly oneWayMs: number,
   ) {}
 
   /** Sends a request; `earlier` are the spans of the output it goes on from. */
   submit(
     req: EngineRequest,
-    earlier: readonly TokenSpan[],
+    earlierSpans: readonly TokenSpan[],
     silentFromMs: number,
     listener: StreamListener,
   ): void {
-    this.clock.after(this.delayMs, () => {
+    this.clock.scheduleAfter(this.oneWayMs, () => {
       const {kind} = this.model.submit(req, this.clock.nowMs);
       if (kind !== 'accepted') {
         const failure = kind === 'down' ? 'connect_failed' : 'rejected';
-        this.settle(listener, failure, false, 0);
+        this.reportFailure(listener, failure, false, 0);
       } else {
-        const spans = earlier.map(span => ({...span}));
-        const resumed = req.resumeTokens;
+        const spans = earlierSpans.map(span => ({...span}));
+        const resumedTokens = req.resumeTokens;
         this.streams.set(req.id, {
           listener,
           spans,
-          resumed,
+          resumedTokens: resumedTokens,
           tokens: 0,
           silentFromMs,
         });
       }
-      this.wake();
+      this.advance();
     });
   }
 
   cancel(id: string): void {
     this.streams.delete(id);
-    this.clock.after(this.delayMs, () => {
+    this.clock.scheduleAfter(this.oneWayMs, () => {
       this.model.cancel(id, this.clock.nowMs);
-      this.wake();
+      this.advance();
     });
   }
 
-  spansOf(id: string): readonly TokenSpan[] {
+  readSpans(id: string): readonly TokenSpan[] {
     return this.streams.get(id)?.spans ?? [];
   }
 
   /** What the engine last reported to run. */
-  readVersion(): ReportedEngine {
+  reportVersion(): ReportedEngine {
     const {weightVersion} = this.model.reportLoad(this.clock.nowMs);
     return {id: this.id, weightVersion};
   }
 
-  order({fencing, version}: LoadOrder): void {
+  loadWeights({fencing, version}: LoadOrder): void {
     const order = {kind: 'load_version', fencing, version} as const;
     this.model.order(order, this.clock.nowMs);
-    this.wake();
+    this.advance();
   }
 
   crash(): void {
     this.model.crash(this.clock.nowMs);
-    this.wake();
+    this.advance();
   }
 
   /** The report, unless the engine is down and doesn't answer. */
   reportLoad(): readonly LoadReport[] {
     const load = this.model.reportLoad(this.clock.nowMs);
-    this.wake();
+    this.advance();
     return this.model.isDown ? [] : [{endpoint: this.id, ...load}];
   }
 
   /** Takes what happened and comes back when the model has more. */
-  wake(): void {
-    for (const event of this.model.advance(this.clock.nowMs)) this.take(event);
+  advance(): void {
+    for (const event of this.model.advance(this.clock.nowMs))
+      this.handleEvent(event);
     const atMs = this.model.nextEventAtMs();
-    if (atMs === Infinity || atMs === this.wakeAtMs) return;
-    this.wakeAtMs = atMs;
-    this.clock.at(atMs, () => {
-      if (this.wakeAtMs !== atMs) return;
-      this.wakeAtMs = Infinity;
-      this.wake();
+    if (atMs === Infinity || atMs === this.nextAdvanceAtMs) return;
+    this.nextAdvanceAtMs = atMs;
+    this.clock.scheduleAt(atMs, () => {
+      if (this.nextAdvanceAtMs !== atMs) return;
+      this.nextAdvanceAtMs = Infinity;
+      this.advance();
     });
   }
 
-  private take(event: EngineEvent): void {
-    if (event.kind === 'chunk') return this.takeChunk(event);
+  private handleEvent(event: EngineEvent): void {
+    if (event.kind === 'chunk') return this.handleChunk(event);
     if (event.kind !== 'crashed') return;
     for (const id of event.lostIds) {
       const stream = this.streams.get(id);
       if (!stream) continue;
       this.streams.delete(id);
-      const tokens = stream.resumed + stream.tokens;
-      this.settle(stream.listener, 'crashed', true, tokens);
+      const tokens = stream.resumedTokens + stream.tokens;
+      this.reportFailure(stream.listener, 'crashed', true, tokens);
     }
   }
 
-  private takeChunk(event: EngineEvent & {kind: 'chunk'}): void {
+  private handleChunk(event: EngineEvent & {kind: 'chunk'}): void {
     const stream = this.streams.get(event.id);
     if (!stream) return;
     if (event.atMs >= stream.silentFromMs) {
       this.streams.delete(event.id);
-      this.clock.after(SILENT_TIMEOUT_MS, () =>
+      this.clock.scheduleAfter(SILENT_TIMEOUT_MS, () =>
         stream.listener.onEnd(
-          createFailure('silent', true, stream.resumed + stream.tokens),
+          createFailure('silent', true, stream.resumedTokens + stream.tokens),
         ),
       );
       return;
@@ -148,8 +149,8 @@
     addSpan(stream.spans, event.weightVersion, event.tokens);
     stream.tokens += event.tokens;
     if (event.finishReason !== null) this.streams.delete(event.id);
-    this.clock.after(this.delayMs, () => {
-      const tokens = stream.resumed + stream.tokens;
+    this.clock.scheduleAfter(this.oneWayMs, () => {
+      const tokens = stream.resumedTokens + stream.tokens;
       if (event.finishReason === null) {
         stream.listener.onProgress(tokens, event.weightVersion);
         return;
@@ -158,13 +159,13 @@
     });
   }
 
-  private settle(
+  private reportFailure(
     listener: StreamListener,
     failure: FailureKind,
     sent: boolean,
     tokens: number,
   ): void {
-    this.clock.after(this.delayMs, () =>
+    this.clock.scheduleAfter(this.oneWayMs, () =>
       listener.onEnd(createFailure(failure, sent, tokens)),
     );
   }
--- a/packages/bench/src/steps_world.ts
+++ b/packages/bench/src/steps_simulation.ts
@@ -27,13 +27,13 @@
 import {CreateScheduler, StepsVms} from './steps_vms.js';
 import {VirtualClock} from './virtual_clock.js';
 
-const END_MS = 3_600_000;
+const MAX_RUN_MS = 3_600_000;
 const FLOOD_TENANT = 'flooder';
 const FLOOD_MAX_TOKENS = 3000;
-const ORDER_EVERY_MS = 500;
+const WEIGHT_ORDER_INTERVAL_MS = 500;
 const TOKENS_PER_CHUNK = 32;
 
-export interface WorldOptions {
+export interface SimulationOptions {
   readonly deployment: Deployment;
   readonly fault: FaultCase;
   readonly seed: number;
@@ -44,53 +44,53 @@
 }
 
 /** What one run showed. */
-export interface WorldResult {
+export interface SimulationResult {
   readonly idleMs: number;
   readonly staleness: readonly number[];
   readonly appMs: readonly number[];
   readonly hintMs: readonly number[];
   readonly generatedTokens: number;
   readonly deliveredTokens: number;
-  readonly overBound: number;
+  readonly overStale: number;
   readonly lost: number;
-  readonly crashes: number;
+  readonly poisonCrashes: number;
   /** Works given up, by error kind; those of poisonous samples not counted. */
   readonly gaveUp: Readonly<Record<string, number>>;
 }
 
-interface Sample {
+interface ActiveItem {
   readonly work: WorkItem;
   readonly vm: number;
   readonly seed: number;
-  readonly poison: boolean;
+  readonly isPoisonous: boolean;
   readonly openedAtMs: number;
   /** Spans of each attempt, kept to go on from. */
-  readonly spans: Map<number, readonly TokenSpan[]>;
-  readonly endpoints: Map<number, string>;
-  readonly onOver: (result: 'done' | 'gave_up') => void;
+  readonly spansByAttempt: Map<number, readonly TokenSpan[]>;
+  readonly endpointByAttempt: Map<number, string>;
+  readonly onClosed: (result: 'done' | 'gave_up') => void;
 }
 
-export class StepsWorld {
+export class StepsSimulation {
   private readonly clock = new VirtualClock();
   private readonly random;
   private readonly vms: StepsVms;
   private readonly engines = new Map<string, StepsEngine>();
   private readonly apps = new Map<string, AppModel>();
-  private readonly samples = new Map<string, Sample>();
+  private readonly activeItems = new Map<string, ActiveItem>();
   private readonly staleness: number[] = [];
   private readonly appMs: number[] = [];
   private readonly hintMs: number[] = [];
-  private readonly rollout = new WeightRollout(1);
+  private readonly weightRollout = new WeightRollout(1);
   private version = 1;
   private nextId = 0;
   private idleMs = 0;
   private trainersLeft = 0;
   private deliveredTokens = 0;
-  private overBound = 0;
-  private crashes = 0;
+  private overStale = 0;
+  private poisonCrashes = 0;
   private readonly gaveUp: Record<string, number> = {};
 
-  constructor(private readonly options: WorldOptions) {
+  constructor(private readonly options: SimulationOptions) {
     this.random = createRandomBits(options.seed);
     this.vms = new StepsVms(
       this.clock,
@@ -100,14 +100,14 @@
     );
   }
 
-  run(): WorldResult {
+  run(): SimulationResult {
     this.setUp();
-    this.clock.run(END_MS, () => this.isOver());
+    this.clock.run(MAX_RUN_MS, () => this.isOver());
     const runs = [...this.engines.values()].flatMap(e => e.model.listRuns());
     const generatedTokens = runs
       .flatMap(run => run.spans)
       .reduce((sum, span) => sum + span.tokens, 0);
-    const rollouts = [...this.samples.values()].filter(
+    const rollouts = [...this.activeItems.values()].filter(
       s => s.work.tenant !== FLOOD_TENANT && s.work.stepKey !== '',
     );
     return {
@@ -117,9 +117,9 @@
       hintMs: this.hintMs,
       generatedTokens,
       deliveredTokens: this.deliveredTokens,
-      overBound: this.overBound,
+      overStale: this.overStale,
       lost: this.trainersLeft > 0 ? rollouts.length : 0,
-      crashes: this.crashes,
+      poisonCrashes: this.poisonCrashes,
       gaveUp: this.gaveUp,
     };
   }
@@ -143,30 +143,40 @@
       ...[...this.engines.values()].flatMap(engine => engine.reportLoad()),
       ...[...this.apps].map(([id, app]) => app.reportLoad(toEndpointId(id))),
     ]);
-    this.clock.every(deployment.weightIntervalMs, () => this.publish());
-    this.clock.every(ORDER_EVERY_MS, () => this.orderWeights());
-    this.clock.every(1e3 / WORKLOAD.appRequestsPerSecond, () => this.sendApp());
-    this.clock.every(1e3 / WORKLOAD.hintsPerSecond, () => this.sendHint());
+    this.clock.scheduleEvery(deployment.weightIntervalMs, () =>
+      this.publishWeights(),
+    );
+    this.clock.scheduleEvery(WEIGHT_ORDER_INTERVAL_MS, () =>
+      this.orderWeights(),
+    );
+    this.clock.scheduleEvery(1e3 / WORKLOAD.appRequestsPerSecond, () =>
+      this.sendApp(),
+    );
+    this.clock.scheduleEvery(1e3 / WORKLOAD.hintsPerSecond, () =>
+      this.sendHint(),
+    );
     this.setUpFaults(fault);
     if (!withRollouts) return;
     const plans = createPlans(this.options.seed);
     this.trainersLeft = plans.length;
     plans.forEach((plan, trainer) =>
-      this.clock.at(plan.startAtMs, () => this.openStep(trainer, plan, 0)),
+      this.clock.scheduleAt(plan.startAtMs, () =>
+        this.openStep(trainer, plan, 0),
+      ),
     );
   }
 
   private setUpFaults(fault: FaultCase): void {
     const engines = [...this.engines.values()];
     if (fault.slowFactor) engines[0].model.setSlowFactor(fault.slowFactor);
-    if (fault.swapFails) engines[1].model.setSwapFailure('later');
+    if (fault.isSwapFailing) engines[1].model.setSwapFailure('later');
     if (fault.crashEveryMs) {
-      this.clock.every(fault.crashEveryMs, () =>
+      this.clock.scheduleEvery(fault.crashEveryMs, () =>
         engines[pickRandomBelow(this.random, engines.length)].crash(),
       );
     }
     if (fault.floodSamples) {
-      this.clock.every(60_000, () => this.flood(fault.floodSamples!));
+      this.clock.scheduleEvery(60_000, () => this.flood(fault.floodSamples!));
     }
   }
 
@@ -200,28 +210,32 @@
 
   // Weights
 
-  private publish(): void {
+  private publishWeights(): void {
     this.version++;
     const {version} = this;
     const min = version - this.options.deployment.maxStaleness;
-    const open = new Set(
-      [...this.samples.values()].map(sample => sample.work.stepKey),
+    const openSteps = new Set(
+      [...this.activeItems.values()].map(item => item.work.stepKey),
     );
-    for (const stepKey of open) {
+    for (const stepKey of openSteps) {
       if (stepKey === '') continue;
-      this.vms.tellAll({kind: 'min_version', stepKey, minWeightVersion: min});
+      this.vms.dispatchToAll({
+        kind: 'min_version',
+        stepKey,
+        minWeightVersion: min,
+      });
     }
   }
 
   private orderWeights(): void {
     const engines = [...this.engines.values()];
-    const reported = engines.map(engine => engine.readVersion());
-    for (const order of this.rollout.plan(
+    const reported = engines.map(engine => engine.reportVersion());
+    for (const order of this.weightRollout.plan(
       reported,
       this.version,
       this.clock.nowMs,
     )) {
-      this.engines.get(order.engine)!.order(order);
+      this.engines.get(order.engine)!.loadWeights(order);
     }
   }
 
@@ -231,18 +245,18 @@
     const openedAtMs = this.clock.nowMs;
     const vm = pickRandomBelow(this.random, this.vms.count);
     const seeds = listSeeds(this.options.seed, trainer, index);
-    let left = seeds.length;
-    const onOver = () => {
-      if (--left > 0) return;
+    let samplesLeft = seeds.length;
+    const onClosed = () => {
+      if (--samplesLeft > 0) return;
       this.idleMs += this.clock.nowMs - openedAtMs;
       if (index + 1 === plan.steps.length) this.trainersLeft--;
       else {
-        this.clock.after(plan.trainMs, () =>
+        this.clock.scheduleAfter(plan.trainMs, () =>
           this.openStep(trainer, plan, index + 1),
         );
       }
     };
-    const isPoisoned = this.options.fault.poison && index === 1;
+    const hasPoisonSample = this.options.fault.hasPoisonSample && index === 1;
     seeds.forEach(({seed, group, maxTokens}, i) =>
       this.enqueue(vm, {
         tenant: `trainer-${trainer}`,
@@ -250,8 +264,8 @@
         groupKey: `group-${trainer}-${index}-${group}`,
         maxTokens,
         seed,
-        poison: Boolean(isPoisoned) && i === 5,
-        onOver,
+        isPoisonous: Boolean(hasPoisonSample) && i === 5,
+        onClosed: onClosed,
       }),
     );
   }
@@ -265,8 +279,8 @@
         groupKey: `flood-${this.clock.nowMs}-${i % 50}`,
         maxTokens: FLOOD_MAX_TOKENS,
         seed: this.random(),
-        poison: false,
-        onOver: () => {},
+        isPoisonous: false,
+        onClosed: () => {},
       });
     }
   }
@@ -279,8 +293,8 @@
       groupKey: '',
       maxTokens: WORKLOAD.hintTokens,
       seed: this.random(),
-      poison: false,
-      onOver: result => this.noteApp(this.hintMs, startMs, result),
+      isPoisonous: false,
+      onClosed: result => this.recordAppTime(this.hintMs, startMs, result),
     });
   }
 
@@ -292,12 +306,12 @@
       groupKey: '',
       maxTokens: 0,
       seed: this.random(),
-      poison: false,
-      onOver: result => this.noteApp(this.appMs, startMs, result),
+      isPoisonous: false,
+      onClosed: result => this.recordAppTime(this.appMs, startMs, result),
     });
   }
 
-  private noteApp(
+  private recordAppTime(
     times: number[],
     startMs: number,
     result: 'done' | 'gave_up',
@@ -313,8 +327,8 @@
       readonly groupKey: string;
       readonly maxTokens: number;
       readonly seed: number;
-      readonly poison: boolean;
-      readonly onOver: (result: 'done' | 'gave_up') => void;
+      readonly isPoisonous: boolean;
+      readonly onClosed: (result: 'done' | 'gave_up') => void;
     },
   ): void {
     const id = `work-${this.nextId++}`;
@@ -337,83 +351,84 @@
       maxAttempts: WORKLOAD.maxAttempts,
       fingerprint: `${spec.groupKey}-${spec.seed}`,
     };
-    this.samples.set(id, {
+    this.activeItems.set(id, {
       work,
       vm,
       seed: spec.seed,
-      poison: spec.poison,
+      isPoisonous: spec.isPoisonous,
       openedAtMs: this.clock.nowMs,
-      spans: new Map(),
-      endpoints: new Map(),
-      onOver: spec.onOver,
+      spansByAttempt: new Map(),
+      endpointByAttempt: new Map(),
+      onClosed: spec.onClosed,
     });
-    this.vms.tell(vm, {kind: 'enqueue', work});
+    this.vms.dispatch(vm, {kind: 'enqueue', work});
   }
 
   // What schedulers ask for
 
   private perform(action: SchedulerAction): void {
     if (action.kind === 'report_crash') return;
-    const sample = this.samples.get(action.workId);
-    if (!sample) return;
+    const item = this.activeItems.get(action.workId);
+    if (!item) return;
     switch (action.kind) {
       case 'start':
-        return this.start(sample, action);
+        return this.start(item, action);
       case 'stop':
-        return this.stop(sample, action.attempt);
+        return this.stop(item, action.attempt);
       case 'done':
-        this.handOver(sample, action.attempt);
-        return this.close(sample, 'done');
+        this.deliver(item, action.attempt);
+        return this.close(item, 'done');
       case 'give_up':
-        this.noteGivenUp(sample, action.error.kind);
-        return this.close(sample, 'gave_up');
+        this.recordGivenUp(item, action.error.kind);
+        return this.close(item, 'gave_up');
     }
   }
 
-  private noteGivenUp(sample: Sample, kind: string): void {
-    if (sample.poison || sample.work.tenant === FLOOD_TENANT) return;
+  private recordGivenUp(item: ActiveItem, kind: string): void {
+    if (item.isPoisonous || item.work.tenant === FLOOD_TENANT) return;
     this.gaveUp[kind] = (this.gaveUp[kind] ?? 0) + 1;
   }
 
-  private close(sample: Sample, result: 'done' | 'gave_up'): void {
-    this.samples.delete(sample.work.id);
-    sample.onOver(result);
+  private close(item: ActiveItem, result: 'done' | 'gave_up'): void {
+    this.activeItems.delete(item.work.id);
+    item.onClosed(result);
   }
 
   private start(
-    sample: Sample,
+    item: ActiveItem,
     action: SchedulerAction & {kind: 'start'},
   ): void {
-    const {work, vm} = sample;
+    const {work, vm} = item;
     const {attempt, endpoint, resumeTokens, resumeAttempt} = action;
-    sample.endpoints.set(attempt, endpoint);
-    const tell = (outcome: AttemptOutcome) =>
-      this.end(sample, attempt, outcome);
+    item.endpointByAttempt.set(attempt, endpoint);
+    const onEnd = (outcome: AttemptOutcome) =>
+      this.onAttemptEnd(item, attempt, outcome);
     const app = this.apps.get(endpoint);
     if (app) {
-      const serviceMs = this.drawServiceMs();
+      const serviceMs = this.pickServiceMs();
       return app.run(serviceMs, () =>
-        tell({kind: 'finished', tokens: 0, spans: []}),
+        onEnd({kind: 'finished', tokens: 0, spans: []}),
       );
     }
-    const earlier = resumeTokens > 0 ? this.spansOf(sample, resumeAttempt) : [];
+    const earlierSpans =
+      resumeTokens > 0 ? this.cacheSpans(item, resumeAttempt) : [];
     this.engines.get(endpoint)!.submit(
       {
         id: `${work.id}#${attempt}`,
-        seed: sample.seed,
+        seed: item.seed,
         maxTokens: work.maxTokens,
         resumeTokens,
-        poison: sample.poison,
+        poison: item.isPoisonous,
         promptTokens: work.promptTokens,
         prefixKey: work.prefixKey,
         promptKey: work.prefixKey,
       },
-      earlier,
-      this.drawSilentFromMs(),
+      earlierSpans,
+      this.pickSilentFromMs(),
       {
         onProgress: (tokens, weightVersion) => {
-          this.spansOf(sample, attempt);
-          this.vms.tell(vm, {
+          this.cacheSpans(item, attempt);
+          this.vms.dispatch(vm, {
             kind: 'progress',
             workId: work.id,
             attempt,
@@ -421,54 +436,62 @@
             weightVersion,
           });
         },
-        onEnd: tell,
+        onEnd: onEnd,
       },
     );
   }
 
   /** Spans of an attempt's output; kept, as engines forget theirs. */
-  private spansOf(sample: Sample, attempt: number): readonly TokenSpan[] {
-    const endpoint = sample.endpoints.get(attempt)!;
+  private cacheSpans(item: ActiveItem, attempt: number): readonly TokenSpan[] {
+    const endpoint = item.endpointByAttempt.get(attempt)!;
     const engine = this.engines.get(endpoint);
-    const spans = engine?.spansOf(`${sample.work.id}#${attempt}`) ?? [];
-    if (spans.length > 0) sample.spans.set(attempt, spans);
-    return sample.spans.get(attempt) ?? [];
+    const spans = engine?.readSpans(`${item.work.id}#${attempt}`) ?? [];
+    if (spans.length > 0) item.spansByAttempt.set(attempt, spans);
+    return item.spansByAttempt.get(attempt) ?? [];
   }
 
-  private stop(sample: Sample, attempt: number): void {
-    this.spansOf(sample, attempt);
-    const endpoint = sample.endpoints.get(attempt)!;
-    this.engines.get(endpoint)?.cancel(`${sample.work.id}#${attempt}`);
+  private stop(item: ActiveItem, attempt: number): void {
+    this.cacheSpans(item, attempt);
+    const endpoint = item.endpointByAttempt.get(attempt)!;
+    this.engines.get(endpoint)?.cancel(`${item.work.id}#${attempt}`);
   }
 
-  private end(sample: Sample, attempt: number, outcome: AttemptOutcome): void {
-    const {work, vm} = sample;
-    if (outcome.kind === 'finished') sample.spans.set(attempt, outcome.spans);
+  private onAttemptEnd(
+    item: ActiveItem,
+    attempt: number,
+    outcome: AttemptOutcome,
+  ): void {
+    const {work, vm} = item;
+    if (outcome.kind === 'finished')
+      item.spansByAttempt.set(attempt, outcome.spans);
     if (outcome.kind === 'failed' && outcome.failure === 'crashed') {
-      if (sample.poison) this.crashes++;
+      if (item.isPoisonous) this.poisonCrashes++;
     }
-    this.vms.tell(vm, {kind: 'ended', workId: work.id, attempt, outcome});
+    this.vms.dispatch(vm, {kind: 'ended', workId: work.id, attempt, outcome});
   }
 
-  private handOver(sample: Sample, attempt: number): void {
-    const {work} = sample;
-    const spans = sample.spans.get(attempt) ?? [];
+  private deliver(item: ActiveItem, attempt: number): void {
+    const {work} = item;
+    const spans = item.spansByAttempt.get(attempt) ?? [];
     this.deliveredTokens += spans.reduce((sum, span) => sum + span.tokens, 0);
     if (work.workClass !== 'rollout' || work.tenant === FLOOD_TENANT) return;
     const staleness = measureStaleness(spans, this.version);
     this.staleness.push(staleness);
-    if (staleness > this.options.deployment.maxStaleness) this.overBound++;
+    if (staleness > this.options.deployment.maxStaleness) this.overStale++;
   }
 
-  private drawServiceMs(): number {
+  private pickServiceMs(): number {
     const {median, sigma} = WORKLOAD.appServiceMs;
     const distribution = {medianTokens: median, sigma};
     return pickOutputTokens(this.random(), distribution);
   }
 
-  private drawSilentFromMs(): number {
-    const share = this.options.fault.silentShare ?? 0;
-    if (share === 0 || pickRandomBelow(this.random, 1000) >= share * 1000) {
+  private pickSilentFromMs(): number {
+    const fraction = this.options.fault.silentFraction ?? 0;
+    if (
+      fraction === 0 ||
+      pickRandomBelow(this.random, 1000) >= fraction * 1000
+    ) {
       return Infinity;
     }
     return this.clock.nowMs + pickRandomBelow(this.random, 20_000);
@@ -501,22 +524,22 @@
     startAtMs: (trainer + 1) * WORKLOAD.staggerMs,
     trainMs: WORKLOAD.trainMs,
     steps: Array.from({length: WORKLOAD.stepsPerTrainer}, (_unused, step) =>
-      measureDemand(listSeeds(seed, trainer, step)),
+      computeDemand(listSeeds(seed, trainer, step)),
     ),
   }));
 }
 
-function measureDemand(seeds: readonly SampleSeed[]): StepDemand {
+function computeDemand(seeds: readonly SampleSeed[]): StepDemand {
   const {decodeBaseMs, decodeSlopeMs, prefillMsPerToken} =
     DEFAULT_ENGINE_OPTIONS;
   const lengths = seeds.map(({seed, maxTokens}) =>
     Math.min(maxTokens, pickOutputTokens(seed, WORKLOAD.length)),
   );
-  const aloneMsPerToken = decodeBaseMs + decodeSlopeMs;
+  const unsharedMsPerToken = decodeBaseMs + decodeSlopeMs;
   return {
     tokens: lengths.reduce((sum, length) => sum + length, 0),
     longestMs:
-      Math.max(...lengths) * aloneMsPerToken +
+      Math.max(...lengths) * unsharedMsPerToken +
       WORKLOAD.promptTokens * prefillMsPerToken,
   };
 }
--- a/packages/bench/src/steps_vms.ts
+++ b/packages/bench/src/steps_vms.ts
@@ -35,40 +35,42 @@
     endpoints: readonly EndpointInfo[],
     readReports: () => readonly LoadReport[],
   ): void {
-    const report = () => {
-      for (const report of readReports()) this.tellAll({kind: 'load', report});
+    const dispatchReports = () => {
+      for (const report of readReports())
+        this.dispatchToAll({kind: 'load', report});
     };
-    this.tellAll({kind: 'vms', vms: this.ids});
-    this.tellAll({kind: 'endpoints', endpoints});
-    report();
-    this.clock.every(REPORT_EVERY_MS, report);
-    this.clock.every(TICK_MS, () => this.tellAll({kind: 'tick'}));
-    this.clock.every(DIGEST_EVERY_MS, () => this.exchangeDigests());
+    this.dispatchToAll({kind: 'vms', vms: this.ids});
+    this.dispatchToAll({kind: 'endpoints', endpoints});
+    dispatchReports();
+    this.clock.scheduleEvery(REPORT_EVERY_MS, dispatchReports);
+    this.clock.scheduleEvery(TICK_MS, () => this.dispatchToAll({kind: 'tick'}));
+    this.clock.scheduleEvery(DIGEST_EVERY_MS, () => this.exchangeDigests());
   }
 
   get count(): number {
     return this.schedulers.length;
   }
 
-  tell(vm: number, event: SchedulerEvent): void {
+  dispatch(vm: number, event: SchedulerEvent): void {
     const actions = this.schedulers[vm].handle(event, this.clock.nowMs);
     for (const action of actions) this.apply(vm, action);
   }
 
-  tellAll(event: SchedulerEvent): void {
-    for (let vm = 0; vm < this.count; vm++) this.tell(vm, event);
+  dispatchToAll(event: SchedulerEvent): void {
+    for (let vm = 0; vm < this.count; vm++) this.dispatch(vm, event);
   }
 
-  countWorks(): number {
+  countWorkItems(): number {
     return this.schedulers.reduce((sum, s) => sum + s.countWorkItems(), 0);
   }
 
   private apply(vm: number, action: SchedulerAction): void {
     if (action.kind !== 'report_crash') return this.perform(vm, action);
     const {fingerprints} = action;
-    this.clock.after(DIGEST_DELAY_MS, () => {
+    this.clock.scheduleAfter(DIGEST_DELAY_MS, () => {
       for (let other = 0; other < this.count; other++) {
-        if (other !== vm) this.tell(other, {kind: 'suspects', fingerprints});
+        if (other !== vm)
+          this.dispatch(other, {kind: 'suspects', fingerprints});
       }
     });
   }
@@ -82,9 +84,9 @@
           .map(endpoint => [endpoint.id, endpoint.inFlight]),
       );
       const vm = this.ids[from];
-      this.clock.after(DIGEST_DELAY_MS, () => {
+      this.clock.scheduleAfter(DIGEST_DELAY_MS, () => {
         for (let to = 0; to < this.count; to++) {
-          if (to !== from) this.tell(to, {kind: 'peer_load', vm, inFlight});
+          if (to !== from) this.dispatch(to, {kind: 'peer_load', vm, inFlight});
         }
       });
     });
--- a/packages/bench/src/virtual_clock.ts
+++ b/packages/bench/src/virtual_clock.ts
@@ -2,38 +2,42 @@
 
 import {BinaryHeap} from '@radishyoke/core/scheduling/binary_heap';
 
-interface Due {
+interface ScheduledEvent {
   readonly atMs: number;
-  readonly order: number;
+  readonly sequence: number;
   readonly run: () => void;
 }
 
 export class VirtualClock {
   nowMs = 0;
-  private order = 0;
-  private readonly due = new BinaryHeap<Due>((a, b) =>
-    a.atMs === b.atMs ? a.order < b.order : a.atMs < b.atMs,
+  private nextSequence = 0;
+  private readonly events = new BinaryHeap<ScheduledEvent>((a, b) =>
+    a.atMs === b.atMs ? a.sequence < b.sequence : a.atMs < b.atMs,
   );
 
-  at(atMs: number, run: () => void): void {
-    this.due.push({atMs: Math.max(atMs, this.nowMs), order: this.order++, run});
+  scheduleAt(atMs: number, run: () => void): void {
+    this.events.push({
+      atMs: Math.max(atMs, this.nowMs),
+      sequence: this.nextSequence++,
+      run,
+    });
   }
 
-  after(delayMs: number, run: () => void): void {
-    this.at(this.nowMs + delayMs, run);
+  scheduleAfter(delayMs: number, run: () => void): void {
+    this.scheduleAt(this.nowMs + delayMs, run);
   }
 
-  every(periodMs: number, run: () => void): void {
-    this.after(periodMs, () => {
+  scheduleEvery(periodMs: number, run: () => void): void {
+    this.scheduleAfter(periodMs, () => {
       run();
-      this.every(periodMs, run);
+      this.scheduleEvery(periodMs, run);
     });
   }
 
   /** Runs until `isOver` or `untilMs`, whichever is first. */
   run(untilMs: number, isOver: () => boolean): void {
     while (!isOver()) {
-      const next = this.due.pop();
+      const next = this.events.pop();
       if (!next || next.atMs > untilMs) return;
       this.nowMs = next.atMs;
       next.run();
