--- a/packages/bench/src/__tests__/capacity.spec.ts
+++ b/packages/bench/src/__tests__/capacity.spec.ts
@@ -7,8 +7,8 @@
   readSheet,
 } from '../capacity_sheet.js';
 
-// The page tells operators that the design reaches the size they expect. A
-// figure that nobody worked out again after a change would tell them wrongly.
+// Operators rely on the page to know that the design scales to the size they expect.
+// A figure that was not recomputed after a change would mislead them.
 test('every figure of docs/CAPACITY.md follows from the recorded slopes', t => {
   const rows = readSheet(readCapacityPage());
   const values = evaluateSheet(rows, readRecordedSlopes());
@@ -24,7 +24,7 @@
   }
 });
 
-test('a formula that can not be worked out is an error', t => {
+test('an invalid formula is an error', t => {
   const page = (formula: string) =>
     `| name | formula | value | unit |\n| --- | --- | --- | --- |\n| a | ${formula} | 1 | B |`;
   for (const formula of ['unknown', '1 +', '(1', '1 1', '']) {
--- a/packages/bench/src/__tests__/outage_takeover.spec.ts
+++ b/packages/bench/src/__tests__/outage_takeover.spec.ts
@@ -37,13 +37,13 @@
   return lease !== undefined && task.state.leases.isHeld(lease, nowMs);
 }
 
-// All steps move and what they had finished is generated again, though no VM
-// failed.
-// 1. The log is down for a minute; no session can be renewed.
-// 2. It comes back: by its time every session has lapsed.
-// 3. Whoever is quickest claims; the owners' renewals come a moment later.
-// Cause: lapsing in an outage taken for the holder's end.
-test('an outage moves no lease from a holder that is well, and a dead one is seen', async t => {
+// After a log outage, all steps change owner and finished samples are generated
+// again, though no VM failed.
+// 1. The log is down for a minute, so no session can be renewed.
+// 2. When the log recovers, every session has expired by the log's time.
+// 3. The quickest VM claims the leases before the owners' renewals arrive.
+// Cause: a session that expired during an outage was taken for a failed VM.
+test('a live holder keeps its lease over an outage, and a stopped holder loses it', async t => {
   for (let extraMs = 0; extraMs < 2000; extraMs += 100) {
     await runOutage(t, OUTAGE_MS + extraMs);
   }
@@ -61,9 +61,12 @@
   const heldLease = {lease: LEASE, fencing: fencing.ok ? fencing.value : -1};
   client.isDown = true;
   await clock.tickAsync(outageMs);
-  t.false(owner.holds(heldLease), 'the holder itself can not know');
+  t.false(
+    owner.holds(heldLease),
+    'the holder can not be sure of its lease during an outage',
+  );
   client.isDown = false;
-  // Whatever is appended first shows the others that the log's time went on.
+  // The first record appended after the outage shows readers the new log time.
   void third.append(CRASH);
   for (let ms = 0; ms < 3 * ttlMs; ms += TICK_MS) {
     t.true(seesLeaseHeld(other), `${ms} ms after an outage of ${outageMs} ms`);
--- a/packages/bench/src/__tests__/physical_bound.spec.ts
+++ b/packages/bench/src/__tests__/physical_bound.spec.ts
@@ -16,17 +16,17 @@
 
 const cases: readonly BoundCase[] = [
   {
-    name: 'the longest sample alone, where that is longer',
+    name: 'the time of the longest sample, if that exceeds the capacity limit',
     plans: [createPlan(5, [{tokens: 10, longestMs: 50}])],
     idleMs: 50,
   },
   {
-    name: 'all work over capacity, where that is longer',
+    name: 'all tokens over capacity, if that exceeds the longest sample',
     plans: [createPlan(0, [{tokens: 200, longestMs: 50}])],
     idleMs: 100,
   },
   {
-    name: 'least left first, where steps overlap',
+    name: 'reached by serving the step with the fewest tokens left first',
     plans: [
       createPlan(0, [{tokens: 200, longestMs: 1}]),
       createPlan(10, [{tokens: 20, longestMs: 1}]),
@@ -34,7 +34,7 @@
     idleMs: 110 + 10,
   },
   {
-    name: 'training between steps is no idle time',
+    name: 'free of the training time between steps',
     plans: [
       createPlan(0, [
         {tokens: 20, longestMs: 1},
--- a/packages/bench/src/__tests__/steps.spec.ts
+++ b/packages/bench/src/__tests__/steps.spec.ts
@@ -17,11 +17,11 @@
   }).run();
 }
 
-// A fault costs a trainer rollouts, or hands it stale ones.
-// 1. Engines crash, or hang on to old weights, through several steps.
-// Cause: any decision that gives up, repeats or keeps what it should not.
+// Engine faults lose a trainer's rollouts or deliver overly stale ones.
+// 1. Engines crash every minute, or one keeps old weights, over several steps.
+// 2. The scheduler wrongly gives up a sample, or keeps output that is too stale.
 for (const name of ['crash_a_minute', 'swap_fails']) {
-  test(`no promise is broken under ${name}`, t => {
+  test(`all rollouts arrive within the staleness limit under ${name}`, t => {
     const result = run(name);
     t.true(result.staleness.length > 0);
     t.is(result.overStale, 0);
--- a/packages/bench/src/app_model.ts
+++ b/packages/bench/src/app_model.ts
@@ -1,4 +1,4 @@
-/** A plain service that runs a fixed number of requests at once. */
+/** Model of a plain service that runs a limited number of requests at a time. */
 
 import type {EndpointId} from '@radishyoke/shared/ids';
 import type {LoadReport} from '@radishyoke/shared/endpoint';
--- a/packages/bench/src/capacity_files.ts
+++ b/packages/bench/src/capacity_files.ts
@@ -1,4 +1,4 @@
-/** Where the capacity page and the recorded slopes lie. */
+/** Reads and writes the capacity page and the recorded slopes. */
 
 import {readFileSync, writeFileSync} from 'node:fs';
 import {fileURLToPath} from 'node:url';
@@ -15,7 +15,7 @@
   return readFileSync(PAGE_PATH, 'utf8');
 }
 
-/** The recorded slopes, by name. */
+/** Returns the values of the recorded slopes by name. */
 export function readRecordedSlopes(): ReadonlyMap<string, number> {
   const slopes = JSON.parse(
     readFileSync(SLOPES_PATH, 'utf8'),
@@ -23,9 +23,9 @@
   return new Map(slopes.map(({name, value}) => [name, value]));
 }
 
-/** Records slopes and works the page out from them. */
+/** Records slopes and recomputes the page from them. */
 export function recordSlopes(slopes: readonly Slope[]): void {
-  // Laid out as the formatter wants it.
+  // One slope per line, which is how prettier formats the file.
   const lines = slopes.map(
     ({name, value, unit}) =>
       `  {"name": "${name}", "value": ${value}, "unit": "${unit}"}`,
--- a/packages/bench/src/capacity_sheet.ts
+++ b/packages/bench/src/capacity_sheet.ts
@@ -1,16 +1,16 @@
 /**
- * The arithmetic of docs/CAPACITY.md. Tables whose first two columns are `name`
- * and `formula` are a sheet: a row may use the measured slopes and any row above
- * it, and `value` is what its formula gives.
+ * Evaluates the calculations in docs/CAPACITY.md. The tables that begin with the
+ * columns `name`, `formula` and `value` form a sheet: a formula may refer to measured
+ * slopes and to any row above it, and `value` is its result.
  */
 
-/** One row of a sheet, with the value that the page states. */
+/** One row of a sheet and the value stated on the page. */
 export interface SheetRow {
   readonly line: number;
   readonly name: string;
   readonly formula: string;
   readonly stated: string;
-  /** `within X` or `over X`, where the row is held against the row X. */
+  /** `within X` or `over X` if the row is compared with row X; else empty. */
   readonly verdict: string;
 }
 
@@ -18,7 +18,7 @@
 const TOKEN_PATTERN = /\s*([A-Za-z_][A-Za-z0-9_]*|\d+(?:\.\d+)?|[-+*/()])/y;
 const SIGNIFICANT_DIGITS = 3;
 
-/** Finds all rows of sheets in a page. */
+/** Parses all sheet rows of a page. */
 export function readSheet(page: string): readonly SheetRow[] {
   const rows: SheetRow[] = [];
   let isInSheet = false;
@@ -31,7 +31,7 @@
   return rows;
 }
 
-/** Values of all rows, by name, on top of the slopes. */
+/** Returns the values of all rows and slopes by name. */
 export function evaluateSheet(
   rows: readonly SheetRow[],
   slopes: ReadonlyMap<string, number>,
@@ -44,13 +44,13 @@
   return values;
 }
 
-/** A value as the page states it. */
+/** Formats a value as the page states it. */
 export function formatValue(value: number): string {
   const rounded = Number(value.toPrecision(SIGNIFICANT_DIGITS));
   return String(rounded);
 }
 
-/** How a row stands against the row that its verdict names. */
+/** Compares a row with the row that its verdict names. */
 export function computeVerdict(
   row: SheetRow,
   values: ReadonlyMap<string, number>,
@@ -61,7 +61,7 @@
   return `${isWithin ? 'within' : 'over'} ${limit}`;
 }
 
-/** The page with all values and verdicts worked out anew. */
+/** Returns the page with all values and verdicts recomputed. */
 export function fillSheet(
   page: string,
   slopes: ReadonlyMap<string, number>,
@@ -91,7 +91,7 @@
   };
 }
 
-/** Sums, differences, products and quotients of numbers and names. */
+/** Evaluates an arithmetic expression of numbers and names by recursive descent. */
 class Formula {
   private readonly tokens: readonly string[];
   private position = 0;
@@ -157,6 +157,6 @@
 
   private fail(): never {
     const token = this.tokens?.[this.position - 1] ?? '';
-    throw new Error(`can not work out "${this.text}" (at "${token}")`);
+    throw new Error(`invalid formula "${this.text}" (at "${token}")`);
   }
 }
--- a/packages/bench/src/decide.ts
+++ b/packages/bench/src/decide.ts
@@ -1,6 +1,6 @@
 /**
- * How many decisions one core makes a second: the rule of a request is found,
- * its work queued, an endpoint chosen, and an earlier work ended.
+ * Measures scheduling decisions per second on one core. A decision finds the rule of
+ * a request, queues its work item, chooses an endpoint and finishes an older item.
  */
 
 import type {RuleSet} from '@radishyoke/core/rules/rule';
@@ -26,11 +26,11 @@
 const WARM_UP_MS = 500;
 const SLICE_MS = 200;
 const SLICES = 7;
-/** Decisions between two looks at the clock. */
+/** Decisions between two readings of the clock. */
 const DECISIONS_PER_CLOCK_READ = 500;
-/** At 3,300 requests a second a tick of 100 ms comes this often or less. */
+/** Decisions per tick; a 100 ms tick at 3,300 requests per second comes less often. */
 const DECISIONS_PER_TICK = 100;
-/** Works in flight for each endpoint. */
+/** Work items in flight per endpoint. */
 const IN_FLIGHT_PER_ENDPOINT = 4;
 const PEERS = 10;
 const GROUP = 'tutors';
@@ -44,7 +44,7 @@
   readonly costTo6Endpoints: number;
 }
 
-/** Measures all cases, smallest first. */
+/** Measures all combinations, the smallest first. */
 export function* runDecide(): Generator<DecideLine> {
   for (const rules of RULE_COUNTS) {
     let rateAtSix = 0;
@@ -59,7 +59,7 @@
   }
 }
 
-/** The best of a few slices: on a shared machine, the least disturbed one. */
+/** Returns the best of several slices: the one least disturbed by other processes. */
 function measure(endpoints: number, rules: number): number {
   const driver = new DecideDriver(endpoints, rules);
   driver.run(WARM_UP_MS);
@@ -85,7 +85,7 @@
     this.setUp();
   }
 
-  /** Decides for `durationMs` and returns the decisions a second. */
+  /** Makes decisions for `durationMs` and returns their rate per second. */
   run(durationMs: number): number {
     const startMs = performance.now();
     const before = this.decisionCount;
--- a/packages/bench/src/delivery_audit.ts
+++ b/packages/bench/src/delivery_audit.ts
@@ -1,17 +1,17 @@
 /**
- * Counts lost, doubled, over-stale and mislabelled rollouts from what trainers
- * received and what engines say they ran, without the service's own books.
+ * Counts lost, duplicate, overly stale and mislabelled rollouts. Compares what trainers
+ * received with what engines recorded, independently of the service's own records.
  */
 
 import type {FakeEngine} from '@radishyoke/fakes/fake_engine';
 import type {EngineRun} from '@radishyoke/fakes/run_history';
 import type {Rollout, TokenSpan} from '@radishyoke/shared/rollout';
 
-/** One rollout as a trainer took it. */
+/** One rollout as a trainer received it. */
 export interface Delivery {
   readonly tenant: string;
   readonly rollout: Rollout;
-  /** The trainer's weight version when it came. */
+  /** The trainer's weight version when the rollout arrived. */
   readonly trainerVersion: number;
   readonly maxStaleness: number;
 }
@@ -22,7 +22,7 @@
   readonly lost: number;
   readonly doubled: number;
   readonly overStale: number;
-  /** Rollouts whose spans differ from what their engine ran. */
+  /** Rollouts whose spans differ from the engine's record of the run. */
   readonly mislabelled: number;
   readonly weightVersions: readonly number[];
   readonly stalenessMax: number;
@@ -63,7 +63,7 @@
   };
 }
 
-/** Runs by engine and by request id without the owner's fencing number. */
+/** Indexes runs by engine and by request id without the owner's fencing number. */
 function indexRuns(
   engines: ReadonlyMap<string, FakeEngine>,
 ): ReadonlyMap<string, readonly EngineRun[]> {
@@ -90,7 +90,7 @@
   return found.find(run => run.end === 'finished') ?? found[0];
 }
 
-/** Whether `whole` ends with the tokens and versions of `part`. */
+/** Returns whether `spans` ends with the tokens and weight versions of `suffix`. */
 function isSuffix(
   suffix: readonly TokenSpan[],
   spans: readonly TokenSpan[],
--- a/packages/bench/src/demo.ts
+++ b/packages/bench/src/demo.ts
@@ -1,6 +1,6 @@
 /**
- * The main job in one process: two entry VMs with the stand-ins on loopback,
- * three trainers with a few steps each, an app beside them, and new weights.
+ * The demonstration, in one process: two VMs and stand-ins on loopback, three trainers
+ * that run a few steps each and publish new weights, and an app that sends requests.
  */
 
 import {setTimeout as sleep} from 'node:timers/promises';
@@ -19,13 +19,13 @@
 const groupsPerStep = 8;
 const samplesPerGroup = 8;
 const maxStaleness = 2;
-/** What a trainer does with a step's samples before it publishes, ms. */
+/** Simulated training time between a step and the publication of weights. */
 const trainingMs = 400;
 const appCallIntervalMs = 10;
 const progressIntervalMs = 1000;
 const firstVersion = 1;
 
-/** A step as its trainer saw it; ms from the start of the run. */
+/** A step from its trainer's view; times in ms since the start of the run. */
 interface StepTimeline {
   readonly tenant: string;
   readonly step: string;
@@ -33,7 +33,7 @@
   readonly arrivalsMs: readonly number[];
 }
 
-/** One line per tenant of the closing table. */
+/** One row of the final table, for one client account. */
 interface TenantFigures {
   readonly tenant: string;
   readonly requested: number;
@@ -43,8 +43,8 @@
 }
 
 /**
- * Runs the demonstration; the last line on stdout is one JSON object. With
- * `savePath` that object goes there too, with the VMs' metrics for a report.
+ * Runs the demonstration and returns the exit code. The last line on stdout is a JSON
+ * object; it is also written to `savePath`, together with step timelines and metrics.
  */
 export async function runDemo(savePath?: string): Promise<number> {
   const demo = new Demo(savePath);
@@ -186,7 +186,7 @@
 
   private printProgress(): void {
     console.log(
-      `${this.deliveries.length} of ${this.requested} rollouts asked for so far, weights ${this.version}, app calls ${this.appCalls}`,
+      `${this.deliveries.length} of ${this.requested} rollouts requested so far, weights ${this.version}, app calls ${this.appCalls}`,
     );
   }
 
@@ -212,7 +212,7 @@
       p50Ms: this.appHistogram.getValueAtPercentile(50) / 1000,
       p99Ms: appP99Ms,
     });
-    console.log('time of a step for trainers, of a call for the app:');
+    console.log('duration of steps (trainers) and of calls (app):');
     console.table(rows);
     const {requested, delivered, lost, doubled, overStale} = figures;
     const {weightVersions, stalenessMax, mislabelled} = figures;
--- a/packages/bench/src/demo_deployment.ts
+++ b/packages/bench/src/demo_deployment.ts
@@ -1,6 +1,6 @@
 /**
- * The deployment that the demonstration runs on: two VMs by the example files,
- * with stand-ins for everything outside, all on loopback.
+ * The deployment of the demonstration: two VMs configured from the example files, and
+ * stand-ins for everything outside the service, all on loopback.
  */
 
 import {readFile} from 'node:fs/promises';
@@ -21,7 +21,7 @@
 import {waitUntilReady} from '@radishyoke/fakes/wait_until_ready';
 import {toDataCentreId, toTeamId, toVmId} from '@radishyoke/shared/ids';
 
-/** Model that the demonstration's engines serve. */
+/** Model that the engines of the demonstration serve. */
 export const demoModel = 'hint-tutor';
 
 const team = toTeamId('kodkutu');
@@ -30,14 +30,14 @@
 const dataCentres = ['gebze-a', 'gebze-b', 'kartal'];
 const vmDataCentres = ['gebze-a', 'kartal'];
 
-/** Ports of one VM; 0 takes a free one. */
+/** Listening ports of one VM; 0 lets the system choose a free port. */
 export interface DemoPorts {
   readonly caller: number;
   readonly admin: number;
 }
 
 const freePorts: DemoPorts = {caller: 0, admin: 0};
-/** Ports that the pages' commands name. */
+/** Ports that the commands in the documentation use. */
 const fixedPorts: readonly DemoPorts[] = [
   {caller: 7100, admin: 7102},
   {caller: 7110, admin: 7112},
@@ -48,7 +48,7 @@
   /** `http://ip:port` of each VM's caller listener. */
   readonly origins: string[] = [];
   standIns!: StandIns;
-  /** Token for the administration API, with every role. */
+  /** Token for the administration API that has every role. */
   token = '';
 
   constructor(private readonly ports: readonly DemoPorts[] = []) {}
@@ -100,7 +100,7 @@
     this.standIns.putVm({id, peerAddress, callerAddress, dataCentre, state});
   }
 
-  /** The example's settings with these ports and the stand-ins' addresses. */
+  /** Returns the example settings with one VM's ports and the stand-ins' addresses. */
   private adaptSettings(
     settings: Settings,
     id: string,
@@ -128,7 +128,7 @@
   }
 }
 
-/** Keeps the deployment open for requests by hand, until interrupted. */
+/** Keeps a deployment running for manual requests until SIGINT. */
 export async function holdDemo(): Promise<void> {
   const deployment = new DemoDeployment(fixedPorts);
   try {
@@ -160,7 +160,7 @@
   });
 }
 
-/** Logs of the VMs only on request, so that the last line stays the result. */
+/** Logs to stderr if RADISHYOKE_DEMO_LOG is set; otherwise VMs don't log. */
 function createDemoLogger(vm: string): Logger {
   if (!process.env['RADISHYOKE_DEMO_LOG']) return silentLogger;
   return createLogger('info', {vm}, line => process.stderr.write(`${line}\n`));
--- a/packages/bench/src/drill.ts
+++ b/packages/bench/src/drill.ts
@@ -1,7 +1,7 @@
 /**
- * `npm run drill -- --json`: real VM processes against stand-ins on loopback,
- * broken in ways that the promises must survive. Prints one JSON line a case;
- * exits 1 if a promise was broken.
+ * `npm run drill -- --json`: runs real VM processes against stand-ins on loopback and
+ * injects faults under which the service's guarantees must hold. Prints one JSON line
+ * per case; exits with 1 if a guarantee was broken.
  */
 
 import cac from 'cac';
@@ -11,9 +11,9 @@
 import {DrillDeployment} from './drill_deployment.js';
 
 const TRAINERS = ['trainer-1', 'trainer-2'] as const;
-/** From the start of the steps until something breaks. */
+/** Time from the start of the steps to the fault. */
 const FAULT_DELAY_MS = 1200;
-/** Whatever is not there by then counts as lost. */
+/** Rollouts that have not arrived by then count as lost. */
 const CASE_TIMEOUT_MS = 40_000;
 const MAX_CONFIG_SECONDS = 6;
 
@@ -30,13 +30,13 @@
   readonly appFailed: number;
   readonly appFailures: readonly string[];
   readonly reconnects: number;
-  /** The steps' time against that of the calm run. */
+  /** Duration of the steps relative to the calm case. */
   readonly idleRatio: number;
   readonly stepSeconds: readonly number[];
   readonly seconds: number;
   readonly broken: readonly string[];
   readonly errors: readonly string[];
-  /** The trainers' weight version at the end, and then each engine's. */
+  /** The trainers' weight version at the end, followed by that of each engine. */
   readonly weightVersions: readonly number[];
 }
 
@@ -102,7 +102,7 @@
   return {...line, broken: listBroken(line)};
 }
 
-/** Names of the promises that the case broke. */
+/** Returns the names of the guarantees that the case broke. */
 function listBroken(
   line: Omit<DrillLine, 'broken' | 'seconds' | 'weightVersions'>,
 ): readonly string[] {
@@ -122,7 +122,7 @@
   return checks.filter(([, isBroken]) => isBroken).map(([name]) => name);
 }
 
-/** Whatever a case left broken must not spoil the next. */
+/** Clears all faults and restarts VMs that are not ready, before the next case. */
 async function restore(deployment: DrillDeployment): Promise<void> {
   const {log, engines} = deployment.standIns;
   log.faults.clear();
@@ -154,8 +154,8 @@
 }
 
 const cli = cac('drill');
-cli.option('--json', 'Print JSON lines (the only format there is)');
-cli.option('--case <name>', 'Only this case, besides the calm run');
+cli.option('--json', 'Print JSON lines (the only format)');
+cli.option('--case <name>', 'Run only this case, after the calm one');
 cli.help();
 const {options} = cli.parse();
 if (!options.help) {
--- a/packages/bench/src/drill_cases.ts
+++ b/packages/bench/src/drill_cases.ts
@@ -1,29 +1,29 @@
-/** The drill's cases: what is broken while two steps and an app run. */
+/** Fault cases of the drill; each is injected while two steps and an app run. */
 
 import {sleep} from './drill_vm.js';
 import type {DrillDeployment} from './drill_deployment.js';
 
-/** What a case measures besides what the callers see. */
+/** Figures that a case measures in addition to those of the callers. */
 export interface CaseFigures {
   readonly configSecondsToAll?: number;
   readonly takeoverSeconds?: number;
-  /** Requests given to an endpoint three seconds and more after it left. */
+  /** Requests that start on an endpoint 3 s or more after it began leaving. */
   readonly newWorkAfterLeaving?: number;
   /** Whether all VMs agree which operator won. */
   readonly oneWinner?: boolean;
-  /** Exit codes of VMs that were asked to leave. */
+  /** Exit codes of VMs that were asked to shut down. */
   readonly exitCodes?: ReadonlyArray<number | null>;
 }
 
 export interface DrillCase {
   readonly name: string;
-  /** Whether no request in flight may be cut off. */
+  /** Whether every request in flight must complete. */
   readonly graceful: boolean;
-  /** Breaks something; called when the steps are well under way. */
+  /** Injects the fault; called while the steps are running. */
   readonly run: (deployment: DrillDeployment) => Promise<CaseFigures>;
 }
 
-/** Over the session's time to live, so that leases lapse. */
+/** Longer than the session's time to live, so that the VM's leases expire. */
 const PAUSE_MS = 9000;
 const OUTAGE_MS = 4000;
 const LEAVING_GRACE_MS = 3000;
@@ -103,7 +103,7 @@
   return {};
 }
 
-/** All open connections of the log and of an engine go silent at once. */
+/** Makes all open connections of the log and of one engine silent. */
 async function silenceLog(deployment: DrillDeployment): Promise<CaseFigures> {
   const before = await deployment.readConfigVersion(deployment.vms[0]);
   const {log, engines} = deployment.standIns;
@@ -123,7 +123,7 @@
   const winner = deployment.publishConfig(before, 'first operator');
   deployment.publishConfig(before, 'second operator');
   const configSecondsToAll = await deployment.measureConfigSeconds(winner);
-  // Time in which the second record, too, has reached every VM.
+  // Waits until the second record has reached every VM as well.
   await sleep(1000);
   const versions = await Promise.all(
     deployment.vms.map(vm => deployment.readConfigVersion(vm)),
@@ -147,14 +147,14 @@
   return {newWorkAfterLeaving: runs.length};
 }
 
-/** The newest claim on a step. */
+/** Returns the latest claim on a step. */
 function findOwner(deployment: DrillDeployment) {
   const claim = deployment.listStepClaims().at(-1);
   if (!claim) throw new Error('no VM owns a step');
   return claim;
 }
 
-/** Seconds from `sinceMs` until a VM other than `oldOwner` claims the lease. */
+/** Returns the seconds from `sinceMs` until a VM other than `oldOwner` claims `lease`. */
 async function measureTakeover(
   deployment: DrillDeployment,
   lease: string,
--- a/packages/bench/src/drill_deployment.ts
+++ b/packages/bench/src/drill_deployment.ts
@@ -1,4 +1,4 @@
-/** The drill's VMs and the stand-ins round them. */
+/** The VMs of the drill and the stand-ins that they depend on. */
 
 import {mkdtempSync} from 'node:fs';
 import {tmpdir} from 'node:os';
@@ -74,7 +74,7 @@
 }
 
 export class DrillDeployment {
-  /** The trainers' present weight version. */
+  /** Current weight version of the trainers. */
   weightVersion = FIRST_VERSION;
   private publicationCount = 0;
 
@@ -116,13 +116,13 @@
     return this.vms.map(vm => vm.origin);
   }
 
-  /** Trainers have new weights. */
+  /** Publishes the next weight version, as a trainer does. */
   publishWeights(): void {
     this.weightVersion++;
     this.standIns.weightStore.publish(MODEL, this.weightVersion);
   }
 
-  /** An operator's publication; returns its offset. */
+  /** Appends a configuration to the log as an operator would; returns its offset. */
   publishConfig(basedOn: number, author: string): number {
     const record: PublishedConfig = {
       kind: 'config_published',
@@ -141,11 +141,12 @@
       [record],
       Date.now(),
     );
-    if (answer.kind !== 'appended') throw new Error('the log takes no record');
+    if (answer.kind !== 'appended')
+      throw new Error('the log refused the record');
     return answer.first;
   }
 
-  /** Configuration version by which a VM decides now. */
+  /** Returns the configuration version that a VM applies, or -1 if it can't be read. */
   async readConfigVersion(vm: DrillVm): Promise<number> {
     try {
       const res = await request(`${vm.origin}/lessons/version`, {
@@ -160,7 +161,7 @@
     }
   }
 
-  /** Time until all VMs decide by `version` or a later one. */
+  /** Returns the seconds until all VMs apply `version` or later; gives up after 15 s. */
   async measureConfigSeconds(version: number): Promise<number> {
     const startMs = Date.now();
     await Promise.all(
@@ -174,7 +175,7 @@
     return (Date.now() - startMs) / 1000;
   }
 
-  /** Claims on leases of steps, in the order of the log. */
+  /** Lists the claims on step leases in log order. */
   listStepClaims(): ReadonlyArray<{
     readonly lease: string;
     readonly vm: string;
@@ -194,7 +195,7 @@
     return this.vms.find(vm => vm.info.id === id);
   }
 
-  /** Shows an engine as leaving, or as live again. */
+  /** Sets an engine's state in the VM list. */
   setEngineState(index: number, state: EndpointInfo['state']): void {
     this.standIns.vmList.putEndpoint({...this.endpoints[index], state});
   }
--- a/packages/bench/src/drill_load.ts
+++ b/packages/bench/src/drill_load.ts
@@ -1,4 +1,4 @@
-/** Callers of the drill: trainers with a step each, and an app. */
+/** Callers in the drill: trainers that run one step each, and an app. */
 
 import {randomUUID} from 'node:crypto';
 import {request} from 'undici';
@@ -15,7 +15,7 @@
 const MAX_STALENESS = 1;
 const MAX_TOKENS = 400;
 
-/** What one trainer saw of its step. */
+/** Outcome of one step as its trainer observed it. */
 export interface TrainerResult {
   readonly step: string;
   readonly durationMs: number;
@@ -27,7 +27,7 @@
   readonly error?: string;
 }
 
-/** Runs one step to its end, or until `signal`. */
+/** Runs one step until it is complete or `signal` aborts it. */
 export async function runTrainer(
   deployment: DrillDeployment,
   tenant: string,
@@ -83,18 +83,18 @@
   };
 }
 
-/** What the app saw of its calls. */
+/** Outcomes of the app's calls. */
 export interface AppResult {
   readonly calls: number;
-  /** Connections broken after the request was sent. */
+  /** Calls whose connection broke after the request was sent. */
   readonly cutOff: number;
   /** Orders that ran more than once. */
   readonly doubled: number;
-  /** Orders refused as not run that a service did run. */
+  /** Orders that a service ran although the caller was told they had not run. */
   readonly falseRefusals: number;
-  /** Calls without an answer of success after all tries. */
+  /** Calls without a successful response after all retries. */
   readonly failed: number;
-  /** What such calls met last, each once. */
+  /** The distinct errors of calls whose outcome is unknown or that were cut off. */
   readonly failures: readonly string[];
 }
 
@@ -106,7 +106,7 @@
 
 type CallOutcome = 'done' | 'not_run' | 'cut_off' | 'unknown';
 
-/** Calls steadily through the balancer until told to stop. */
+/** App that sends calls at a fixed rate, load-balanced over the VMs, until stopped. */
 export class DrillApp {
   private readonly outcomes = new Map<string, CallOutcome>();
   private readonly openCalls = new Set<Promise<void>>();
@@ -159,7 +159,7 @@
     return this.call('GET', '/lessons/1', `look-${randomUUID()}`);
   }
 
-  /** Tries again only what was surely not run, as callers are told to do. */
+  /** Retries only calls that certainly have not run, as callers should. */
   private async call(
     method: 'GET' | 'POST',
     path: string,
--- a/packages/bench/src/drill_vm.ts
+++ b/packages/bench/src/drill_vm.ts
@@ -1,4 +1,4 @@
-/** One VM of the drill: a real process of `radishyoke serve`. */
+/** One VM of the drill: a process that runs `radishyoke serve`. */
 
 import {ChildProcess, spawn} from 'node:child_process';
 import {closeSync, openSync, writeFileSync} from 'node:fs';
@@ -19,7 +19,7 @@
 const PROBE_TIMEOUT_MS = 400;
 const BALANCER_POLL_INTERVAL_MS = 100;
 
-/** Addresses of the platform's stand-ins. */
+/** Addresses of the stand-ins for the platform. */
 export interface PlatformAddresses {
   readonly log: string;
   readonly vmList: string;
@@ -29,7 +29,7 @@
 export class DrillVm {
   private child: ChildProcess | undefined;
   private exited: Promise<number | null> = Promise.resolve(null);
-  /** Whether the balancer sends callers here. */
+  /** Whether the load balancer sends calls to this VM. */
   inRotation = false;
 
   private constructor(
@@ -38,7 +38,7 @@
     private readonly logPath: string,
   ) {}
 
-  /** Writes the settings of a VM; it does not start yet. */
+  /** Writes the settings file of a VM without starting its process. */
   static async create(
     index: number,
     directory: string,
@@ -61,7 +61,7 @@
     return `http://${this.info.callerAddress}`;
   }
 
-  /** Starts the process; resolves once it is ready for callers. */
+  /** Starts the process; resolves when it is ready for callers. */
   async start(): Promise<void> {
     this.launch();
     await this.waitUntilReady();
@@ -104,7 +104,7 @@
     }
   }
 
-  /** Ends the process without a word. */
+  /** Kills the process, so that it can't shut down gracefully. */
   async kill(): Promise<void> {
     this.inRotation = false;
     this.child?.kill('SIGKILL');
@@ -119,12 +119,12 @@
     this.child?.kill('SIGCONT');
   }
 
-  /** Asks the process to leave; resolves with its exit code. */
+  /** Shuts the process down gracefully; resolves with its exit code. */
   async drain(): Promise<number | null> {
     this.child?.kill('SIGTERM');
     let hasExited = false;
     const exited = this.exited.finally(() => (hasExited = true));
-    // As a balancer does: it asks now and then, and learns late.
+    // Polls readiness like a load balancer, which notices the change late.
     while (!hasExited && (await this.isReady()))
       await sleep(BALANCER_POLL_INTERVAL_MS);
     this.inRotation = false;
@@ -161,7 +161,7 @@
   ].join('\n');
 }
 
-/** Ports free a moment ago; the VM takes them soon after. */
+/** Returns ports that are free now; the VM binds them shortly afterwards. */
 async function findFreePorts(count: number): Promise<readonly number[]> {
   const servers = await Promise.all(
     Array.from({length: count}, async () => {
--- a/packages/bench/src/herding.ts
+++ b/packages/bench/src/herding.ts
@@ -1,6 +1,7 @@
 /**
- * Ten routers over one set of engines, all reading the same late reports: does
- * one engine that looks idle get everything until its next report?
+ * Measures herding: ten routers share a set of engines and read the same outdated
+ * load reports. Does an engine that was reported idle receive all requests until
+ * its next report?
  */
 
 import {createRandomBits} from '@radishyoke/core/scheduling/random_bits';
@@ -26,23 +27,23 @@
 
 const ROUTERS = 10;
 const ENGINES = 6;
-/** What runs on all engines but the first, which has just come back idle. */
+/** Requests running on each engine but the first, which just restarted idle. */
 const REPORTED_RUNNING = 12;
 const WORK_ITEMS_PER_ROUTER = 12;
 const WORK_ITEM_INTERVAL_MS = 100;
 const SEEDS = 10;
 
-/** What each engine has after the burst, before any new report. */
+/** Distribution over the engines after the burst, before any new report. */
 export interface HerdingLine {
   readonly case: 'ten_routers';
   readonly scheduler: string;
-  /** Fullest engine to the mean, worst of all seeds. */
+  /** Load of the fullest engine relative to the mean; the worst of all seeds. */
   readonly fullestToMean: number;
-  /** Share of the burst that the idle engine got; a sixth would be blind. */
+  /** Share of the burst that the idle engine received; 1/6 if load is ignored. */
   readonly idleEngineShare: number;
 }
 
-/** Takes the endpoint whose report shows least; what herding looks like. */
+/** Always picks the endpoint with the lowest reported load, which causes herding. */
 class LeastReportedScheduler extends Scheduler {
   private readonly reports = new Map<EndpointId, LoadReport>();
   private workItemCount = 0;
@@ -102,7 +103,7 @@
   }
 }
 
-/** How many of the burst each engine got. */
+/** Returns how many requests of the burst each engine received. */
 function runBurst(
   create: CreateBurstScheduler,
   seed: number,
@@ -144,7 +145,7 @@
   };
 }
 
-/** The same figures each time: the report is older than the burst. */
+/** Creates a report that is older than the burst, so it never changes. */
 function createReport(info: EndpointInfo, index: number): LoadReport {
   return {
     endpoint: info.id,
--- a/packages/bench/src/log_outage.ts
+++ b/packages/bench/src/log_outage.ts
@@ -1,7 +1,7 @@
 /**
- * What an outage of the log in mid-step costs the trainer in idle time, for three
- * ways in which the step's owner may act. On a paused clock, over the real log
- * task; the engines are a fixed number of slots with seeded lengths.
+ * Measures the trainer's idle time caused by a log outage during a step, for three
+ * policies of the step's owner. Runs the real log task on a fake clock; engines are
+ * modelled as a fixed number of slots; each sample has a deterministic duration.
  */
 
 import {DEFAULT_CLAIM_HORIZON_MS} from '@radishyoke/core/ledger/state_fold';
@@ -18,13 +18,13 @@
 import FakeTimers from '@sinonjs/fake-timers';
 import {MemoryLogClient} from './memory_log_client.js';
 
-/** What the owner does while its commits can not be read back. */
+/** What the owner does while the log can't confirm its commits. */
 export type OutagePolicy =
-  /** Goes on generating, hands over what the log confirmed only. */
+  /** Continues generating, but delivers only samples that the log confirmed. */
   | 'hold'
-  /** Hands over at once and trusts the trainer's side to drop doubles. */
+  /** Delivers at once and relies on the trainer to drop duplicates. */
   | 'trainer_cursor'
-  /** Cancels what runs when its lease may have lapsed, and starts it anew. */
+  /** Cancels running samples when its lease may have expired; restarts them later. */
   | 'stop';
 
 export interface OutageCase {
@@ -34,13 +34,13 @@
 }
 
 export interface OutageResult extends OutageCase {
-  /** From opening until the trainer has every sample, whole s. */
+  /** Time from opening until the trainer has every sample, rounded to seconds. */
   readonly wholeS: number;
-  /** More than in the calm run, whole s. */
+  /** Additional time compared with a run without outage, rounded to seconds. */
   readonly idleS: number;
-  /** Samples handed over before the log confirmed them. */
+  /** Samples delivered before the log confirmed them. */
   readonly unconfirmed: number;
-  /** Seconds of generation thrown away. */
+  /** Generation time that was discarded, rounded to seconds. */
   readonly wastedS: number;
 }
 
@@ -52,7 +52,7 @@
 const STEP = toStepId('s1');
 const LEASE = `step:${TENANT}/${STEP}`;
 
-/** Ms to generate a sample: 8 to 24 s, and every fortieth takes 60 s more. */
+/** Returns the generation time: 8 to 24 s, and 60 s more for every fortieth sample. */
 function getGenerationMs(sample: number): number {
   const mixed = (sample * 2654435761) % 16_000;
   return 8000 + mixed + (sample % 40 === 39 ? 60_000 : 0);
@@ -126,7 +126,7 @@
   }
 }
 
-/** Runs the cases and, for the comparison, each policy without an outage. */
+/** Runs each case and, as its baseline, the same policy without an outage. */
 export async function measureLogOutage(
   cases: readonly OutageCase[],
 ): Promise<readonly OutageResult[]> {
@@ -136,8 +136,8 @@
     const run = await runStep(outage);
     results.push({
       ...outage,
-      wholeS: Math.round(run.wholeMs / 1000),
-      idleS: Math.round((run.wholeMs - calm.wholeMs) / 1000),
+      wholeS: Math.round(run.elapsedMs / 1000),
+      idleS: Math.round((run.elapsedMs - calm.elapsedMs) / 1000),
       unconfirmed: run.unconfirmed,
       wastedS: Math.round(run.wastedMs / 1000),
     });
@@ -172,7 +172,7 @@
       elapsedMs = Date.now() - startedAtMs;
     }
     const {unconfirmed, wastedMs} = owner;
-    return {wholeMs: elapsedMs, unconfirmed, wastedMs};
+    return {elapsedMs, unconfirmed, wastedMs};
   } finally {
     log.stop();
     clock.uninstall();
@@ -206,7 +206,7 @@
   return new SimulatedOwner(log, fencing.value, policy);
 }
 
-/** The cases that docs/design/ledger.md gives. */
+/** Cases whose results docs/design/ledger.md reports. */
 export const OUTAGE_CASES: readonly OutageCase[] = (
   ['hold', 'trainer_cursor', 'stop'] as const
 ).flatMap(policy =>
--- a/packages/bench/src/main.ts
+++ b/packages/bench/src/main.ts
@@ -1,23 +1,26 @@
-/** `npm run measure -- <experiment> [--json]`: prints one JSON line a case. */
+/** `npm run measure -- <experiment> [--json]`: prints one JSON line per case. */
 
 import cac from 'cac';
 import type {StepsOptions} from './steps.js';
 
 const cli = cac('measure');
-cli.option('--json', 'Print JSON lines (the only format there is)');
+cli.option('--json', 'Print JSON lines (the only format)');
 
 cli
-  .command('decide', 'Decisions a second by number of endpoints and rules')
+  .command('decide', 'Decisions per second, by number of endpoints and rules')
   .action(async () => {
     const {runDecide} = await import('./decide.js');
     for (const line of runDecide()) print(line);
   });
 
 cli
-  .command('steps', 'Idle time, staleness and waste of steps under faults')
-  .option('--seeds <n>', 'How many of the seeds')
-  .option('--case <name>', 'Only this case')
-  .option('--deployment <name>', 'Only this deployment')
+  .command(
+    'steps',
+    'Idle time, staleness and wasted tokens of steps under faults',
+  )
+  .option('--seeds <n>', 'Number of seeds to run')
+  .option('--case <name>', 'Run only this case')
+  .option('--deployment <name>', 'Run only this deployment')
   .action(async (options: StepsOptions) => {
     const {runStepsInThreads} = await import('./steps_threads.js');
     const {runHerding} = await import('./herding.js');
@@ -27,7 +30,7 @@
   });
 
 cli
-  .command('overhead', 'Processor time beside a bare pass-through')
+  .command('overhead', 'Processor time compared with a bare proxy')
   .action(async () => {
     const {measureOverhead} = await import('./overhead.js');
     print(await measureOverhead());
@@ -36,7 +39,7 @@
 cli
   .command(
     'log-outage',
-    'Idle time by what an owner does while the log is down',
+    'Idle time, by what an owner does while the log is down',
   )
   .action(async () => {
     const {measureLogOutage, OUTAGE_CASES} = await import('./log_outage.js');
@@ -51,10 +54,13 @@
   });
 
 cli
-  .command('slopes', 'Bytes, processor time and memory by size of each role')
+  .command(
+    'slopes',
+    'Bytes, processor time and memory of each role, by its size',
+  )
   .option(
     '--record',
-    'Write docs/capacity-slopes.json, work docs/CAPACITY.md out',
+    'Write docs/capacity-slopes.json and recompute docs/CAPACITY.md',
   )
   .action(async (options: {readonly record?: boolean}) => {
     const {runSlopes} = await import('./slopes.js');
--- a/packages/bench/src/memory_log_client.ts
+++ b/packages/bench/src/memory_log_client.ts
@@ -1,4 +1,4 @@
-/** The log in this process, for experiments on a paused clock. */
+/** Log client without a network, for experiments and tests on a fake clock. */
 
 import type {LogModel} from '@radishyoke/fakes/log_model';
 import {
@@ -11,14 +11,14 @@
 import type {StreamName} from '@radishyoke/shared/log_record';
 import {fail, type Result, succeed} from '@radishyoke/shared/result';
 
-/** How often a waiting read looks again, ms. */
+/** Interval at which a waiting read checks for new records. */
 const POLL_MS = 20;
-/** One way between a VM and the log, ms. */
+/** One-way latency between a VM and the log. */
 const ONE_WAY_MS = 1;
 
-/** Appends and reads a model directly, each way a millisecond of the clock. */
+/** Appends to and reads from a log model directly, with a fixed simulated latency. */
 export class MemoryLogClient extends LogClient {
-  /** While set, every call fails and does nothing. */
+  /** While true, every call fails without effect. */
   isDown = false;
 
   constructor(private readonly model: LogModel) {
--- a/packages/bench/src/overhead.ts
+++ b/packages/bench/src/overhead.ts
@@ -1,6 +1,6 @@
 /**
- * What the service costs beside a bare pass-through: processor time for each
- * plain request and each streamed token, both in one run, as a ratio.
+ * Compares the processor time of the service with that of a bare proxy, per plain
+ * request and per streamed token. Both are measured in the same run, as a ratio.
  */
 
 import {fork} from 'node:child_process';
@@ -10,7 +10,7 @@
 import {fileURLToPath} from 'node:url';
 import {Agent, Dispatcher} from 'undici';
 
-/** Processor time of the measured process for one kind of request. */
+/** Processor time of a measured process per request and per token, in microseconds. */
 interface Cost {
   readonly requestUs: number;
   readonly tokenUs: number;
@@ -30,10 +30,10 @@
 const tokensPerStream = 400;
 const concurrency = 16;
 
-/** What a measured process is asked. */
+/** Query from the parent to a measured process. */
 type WorkerQuery = 'address' | 'cpu';
 
-/** Runs both in turn, several rounds, and compares the medians. */
+/** Measures both alternately for several rounds and compares the medians. */
 export async function measureOverhead(): Promise<OverheadFigures> {
   const backEnd = await startBackEnd();
   const baseline = await startMeasuredProcess('baseline', backEnd.address);
@@ -135,7 +135,7 @@
   };
 }
 
-/** A service that answers at once, or streams tokens one write each. */
+/** Starts a service that responds at once or streams tokens, one per write. */
 async function startBackEnd() {
   const server = http.createServer((req, res) => {
     const url = new URL(req.url ?? '/', 'http://back');
@@ -177,13 +177,13 @@
   res.writeHead(200, {'content-type': 'text/event-stream'});
   for (let i = 0; i < tokens; i++) {
     res.write(`data: {"choices":[{"text":" t${i}"}],"tokens":1}\n\n`);
-    // One write a turn of the loop, so that each token is a piece of its own.
+    // Yields to the event loop, so that each token is sent as a separate chunk.
     await new Promise(resolve => setImmediate(resolve));
   }
   res.end('data: [DONE]\n\n');
 }
 
-/** The pass-through that the service is compared with. */
+/** Creates the bare proxy that the service is compared with. */
 export function createPassThrough(backEnd: string): http.Server {
   const agent = new Agent({connections: 512});
   return http.createServer((req, res) => {
--- a/packages/bench/src/overhead_worker.ts
+++ b/packages/bench/src/overhead_worker.ts
@@ -1,4 +1,4 @@
-/** The measured side of `overhead`, in a process of its own. */
+/** Child process of the `overhead` experiment: runs the service or the bare proxy. */
 
 import type {AddressInfo} from 'node:net';
 import {silentLogger} from '@radishyoke/daemon/logger';
--- a/packages/bench/src/physical_bound.ts
+++ b/packages/bench/src/physical_bound.ts
@@ -1,14 +1,14 @@
 /**
- * The least idle time that any scheduler could reach: a step can't end before
- * its longest sample alone has, nor before the engines, all full and never
- * waiting, have made its tokens. Where steps of several trainers overlap, the
- * one with least left is served first, which no order of whole works beats.
+ * A lower bound of the idle time under any scheduler. A step can't end before its
+ * longest sample has run without other load, nor before fully loaded engines have
+ * generated all its tokens. Where steps of several trainers overlap, the step with
+ * the fewest tokens left is served first, which minimizes the total idle time.
  */
 
-/** What a step asks for. */
+/** Load that one step places on the engines. */
 export interface StepDemand {
   readonly tokens: number;
-  /** Time of its longest sample on an engine of its own. */
+  /** Time that its longest sample takes on an otherwise idle engine. */
   readonly longestMs: number;
 }
 
@@ -25,7 +25,7 @@
   tokensLeft: number;
 }
 
-/** Total idle ms of all trainers at `tokensPerMs` of all engines together. */
+/** Returns the total idle time in ms; `tokensPerMs` is the rate of all engines. */
 export function computeBound(
   plans: readonly TrainerPlan[],
   tokensPerMs: number,
--- a/packages/bench/src/slope.ts
+++ b/packages/bench/src/slope.ts
@@ -1,9 +1,9 @@
-/** One measured figure and how to take it. */
+/** Measured figures and the helpers that measure them. */
 
 import {setFlagsFromString} from 'node:v8';
 import {runInNewContext} from 'node:vm';
 
-/** A figure under a name that docs/CAPACITY.md uses in its formulas. */
+/** A measured figure; the formulas of docs/CAPACITY.md refer to it by name. */
 export interface Slope {
   readonly name: string;
   readonly value: number;
@@ -14,7 +14,7 @@
   return {name, value: Number(value.toPrecision(4)), unit};
 }
 
-/** Processor time of this process while `work` runs, ms. */
+/** Returns the processor time that this process uses while `work` runs, in ms. */
 export function measureCpuMs(work: () => void): number {
   const before = process.cpuUsage();
   work();
@@ -22,18 +22,18 @@
   return (user + system) / 1000;
 }
 
-/** Bytes on the heap that `build` leaves behind. */
+/** Returns the bytes by which `build` grows the heap, measured after garbage collection. */
 export function measureHeapBytes(build: () => unknown): number {
   collectGarbage();
   const before = process.memoryUsage().heapUsed;
   const built = build();
   collectGarbage();
   const after = process.memoryUsage().heapUsed;
-  // Keeps what was built alive until after the second look.
+  // Using the result here keeps it alive until after the second measurement.
   return built === undefined ? 0 : Math.max(0, after - before);
 }
 
-/** The middle of several measurements, so that one pause does not count. */
+/** Returns the median, so that a single pause doesn't distort the result. */
 export function median(values: readonly number[]): number {
   const sorted = [...values].sort((a, b) => a - b);
   return sorted[Math.floor(sorted.length / 2)];
--- a/packages/bench/src/slopes.ts
+++ b/packages/bench/src/slopes.ts
@@ -1,7 +1,7 @@
 /**
- * Measures what each role costs by the size of what it handles, for
- * docs/CAPACITY.md. Bytes and counts do not depend on the machine; processor
- * times do, and are those of the process itself whatever else runs.
+ * Measures what each role of the service costs per unit of its load, for
+ * docs/CAPACITY.md. Bytes and counts don't depend on the machine. Processor times
+ * do, but they count this process only, whatever else runs.
  */
 
 import {runDecide} from './decide.js';
--- a/packages/bench/src/slopes_endpoints.ts
+++ b/packages/bench/src/slopes_endpoints.ts
@@ -1,4 +1,4 @@
-/** What endpoints and the VM list cost a VM, by the number of endpoints. */
+/** Costs of endpoints and of the VM list for one VM, per endpoint. */
 
 import http from 'node:http';
 import {PolicyScheduler} from '@radishyoke/core/scheduling/policy_scheduler';
@@ -75,7 +75,7 @@
   return bytes;
 }
 
-/** Bytes both ways of one GET on a connection that is open already. */
+/** Returns the bytes, in both directions, of one GET on an open connection. */
 async function countExchangeBytes(
   address: string,
   path: string,
@@ -87,7 +87,7 @@
   return second - first;
 }
 
-/** Bytes that the connection has carried after one GET. */
+/** Sends a GET; returns all bytes that its connection has carried so far. */
 function getOnce(
   agent: http.Agent,
   address: string,
--- a/packages/bench/src/slopes_log.ts
+++ b/packages/bench/src/slopes_log.ts
@@ -1,7 +1,7 @@
 /**
- * Slopes of the log-derived state: bytes a record, processor time to fold one,
- * memory of what is folded, and the appends and bytes a second that follow at
- * today's size and at the one to come.
+ * Costs of the state derived from the log: bytes per record, processor time to fold
+ * one and memory of the folded state, and from these the appends and bytes per
+ * second of a current and of a future deployment.
  */
 
 import {setFlagsFromString} from 'node:v8';
@@ -25,7 +25,7 @@
   StateRecord,
 } from '@radishyoke/shared/log_record';
 
-/** What a deployment is expected to be, as far as the log carries it. */
+/** Expected load of a deployment, as far as it reaches the log. */
 export interface LogLoad {
   readonly vms: number;
   readonly trainers: number;
@@ -36,13 +36,13 @@
   readonly configChangesPerDay: number;
   readonly configChars: number;
   readonly requestsPerSecond: number;
-  /** Share of requests that are marked non-idempotent with a caller's id. */
+  /** Share of requests marked non-idempotent that carry a caller's request id. */
   readonly claimedShare: number;
-  /** Appends a second that the deployment may make. */
+  /** Appends per second that the deployment may make. */
   readonly appendsPerSecond: number;
 }
 
-/** Today's size and the one aimed at; the shares are assumptions. */
+/** The current size and the target size; the claimed shares are assumptions. */
 export const LOG_LOADS: readonly LogLoad[] = [
   {
     vms: 13,
@@ -72,7 +72,7 @@
   },
 ];
 
-/** One figure: what was measured, in which unit. */
+/** One measured or derived figure and its unit. */
 export interface LogSlope {
   readonly name: string;
   readonly unit: 'bytes' | 'us' | 'ms' | 'per_s' | 'bytes_per_s';
@@ -134,7 +134,7 @@
   ];
 }
 
-/** Bytes that each further sample adds to a record that holds several. */
+/** Returns the bytes that each additional sample adds to a batched record. */
 function measureFurtherSamples(
   bodyByKind: ReadonlyMap<string, StateBody>,
 ): readonly LogSlope[] {
@@ -189,7 +189,7 @@
   return Math.round((many! - one!) / 100);
 }
 
-/** The records of one step's life, commits and acknowledgements one by one. */
+/** Creates all records of one step; each sample is committed and acknowledged separately. */
 function createStepBodies(step: StateStep, fencing: number): StateBody[] {
   const owner = {tenant: TENANT, step, fencing};
   const [{groupsPerStep, samplesPerStep, promptChars}] = LOG_LOADS as [LogLoad];
@@ -283,10 +283,10 @@
   };
 }
 
-/** Time to parse and fold, as a reader has to. */
+/** Measures the time to parse and fold records, as every reader does. */
 function measureFold(): readonly LogSlope[] {
   const lines = createStateRecords().map(record => JSON.stringify(record));
-  // The first pass warms the compiler up.
+  // The first pass lets the JIT compiler optimize the code.
   foldLines(lines);
   const before = process.cpuUsage();
   foldLines(lines);
@@ -301,7 +301,7 @@
     records.push(toLogged(body, records.length + 1));
   for (let i = 0; i < FOLDED_STEPS; i++) {
     add({kind: 'session', ttlMs: 3_600_000});
-    // The claim stands after the opening, and its offset is the fencing number.
+    // The claim follows the opening record, and its offset is the fencing number.
     const fencing = records.length + 1;
     createStepBodies(toStepId(`step-${i}`), fencing).forEach(add);
   }
@@ -349,7 +349,7 @@
   return history;
 }
 
-/** Bytes of heap that what `build` returns holds. */
+/** Returns the bytes by which `build` grows the heap, measured after garbage collection. */
 function measureHeap(build: () => unknown): number {
   setFlagsFromString('--expose-gc');
   const collect = runInNewContext('gc') as () => void;
@@ -361,7 +361,7 @@
   return built === undefined ? 0 : after - before;
 }
 
-/** What follows for a deployment, records batched as the writer batches them. */
+/** Derives a deployment's rates, with records batched as the log writer does. */
 function deriveRates(
   load: LogLoad,
   sizes: readonly LogSlope[],
@@ -374,7 +374,7 @@
   const appendIntervalS = load.vms / load.appendsPerSecond;
   const owners = Math.min(load.trainers, load.vms);
   const recordsPerSample = 3;
-  // An owner's records queue for its share; those that queue together go in one.
+  // An owner's records wait for its next append, which sends all of them.
   const ownerAppends = Math.min(
     1 / appendIntervalS,
     (samplesPerS * recordsPerSample) / owners + 1 / SESSION_RENEWAL_INTERVAL_S,
@@ -386,7 +386,7 @@
   const stateAppends =
     owners * ownerAppends + claimsPerS + load.vms / AUDIT_ANCHOR_INTERVAL_S;
   const appends = stateAppends + load.vms / auditFlushS;
-  // What gathers while an owner waits for its share goes into one record a kind.
+  // Samples that arrive while an owner waits share one record per kind.
   const batchesPerS = Math.min(owners / appendIntervalS, samplesPerS);
   const batchedSamplesPerS = samplesPerS - batchesPerS;
   const stateBytes =
--- a/packages/bench/src/slopes_peers.ts
+++ b/packages/bench/src/slopes_peers.ts
@@ -1,4 +1,4 @@
-/** What membership and the peer messages cost a VM, by the number of VMs. */
+/** Costs of membership and peer messages for one VM, by the number of VMs. */
 
 import {MembershipNetwork} from '@radishyoke/core/simulation/membership_network';
 import type {VmInfo} from '@radishyoke/shared/endpoint';
@@ -13,17 +13,17 @@
 const DATA_CENTRES = 9;
 const SEED = 7;
 const SETTLE_MS = 12_000;
-/** VM-seconds measured at the least, so that few VMs are watched for longer. */
+/** Minimum of VM-seconds to measure; small deployments are measured for longer. */
 const MEASURED_VM_SECONDS = 1000;
-/** Headers of IP, TCP with timestamps and of the masked frame. */
+/** Headers of IP, of TCP with timestamps and of the masked WebSocket frame. */
 const FRAME_BYTES = 20 + 32 + 8;
 const IDLE_SECONDS = 3;
 const TIMEOUT_MS = 120_000;
-/** Endpoints that a VM has works on, and how many counts change a second. */
+/** Endpoints a VM has work items on, and how many of their counts change per second. */
 const ENDPOINTS_IN_USE = 20;
 const CHANGES_PER_SECOND = 10;
 
-/** The data centres of one region. */
+/** Data centres of the region that is cut off. */
 const PARTITIONED_DATA_CENTRES: ReadonlySet<string> = new Set([
   'dc-0',
   'dc-1',
@@ -31,7 +31,7 @@
 ]);
 
 export function* measurePeers(): Generator<Slope> {
-  // Lets the compiler do its work before anything is timed.
+  // Lets the JIT compiler optimize the code before anything is timed.
   createNetwork(VM_COUNTS[0]).run(SETTLE_MS);
   for (const vms of VM_COUNTS) yield* measureSteadyState(vms);
   for (const vms of VM_COUNTS) yield* measureConfigPropagation(vms);
@@ -39,7 +39,7 @@
   yield* measurePartition(360);
 }
 
-/** A network at its ease: nothing fails, load changes. */
+/** Measures a network without failures, first with changing load, then idle. */
 function* measureSteadyState(vms: number): Generator<Slope> {
   let network!: MembershipNetwork;
   const heap = measureHeapBytes(() => {
@@ -70,7 +70,7 @@
   yield createSlope(`peer_idle_bytes_${vms}`, idleRate, 'B/s');
 }
 
-/** From the first VM that knows a config offset to the last. */
+/** Measures the time from the first VM that reads a config offset to the last. */
 function* measureConfigPropagation(vms: number): Generator<Slope> {
   const network = createNetwork(vms);
   network.silenceConnections(20);
@@ -86,7 +86,7 @@
   yield createSlope(`config_bytes_${vms}`, bytes, 'B');
 }
 
-/** From the death of a VM to the last VM that counts it out. */
+/** Measures the time from a VM's failure until every other VM has removed it. */
 function* measureFailureDetection(vms: number): Generator<Slope> {
   const network = createNetwork(vms);
   const failed = network.nodes[1];
@@ -99,7 +99,7 @@
   yield createSlope(`failure_seen_ms_${vms}`, ms, 'ms');
 }
 
-/** One region of three loses the others for a while. */
+/** Measures how one region of three is partitioned off and rejoins. */
 function* measurePartition(vms: number): Generator<Slope> {
   const network = createNetwork(vms);
   const isPartitioned = (vm: VmInfo) =>
@@ -140,7 +140,7 @@
   }
 }
 
-/** Runs every message through the codec and counts. */
+/** Counts the messages sent from now on and their encoded bytes. */
 function countTraffic(network: MembershipNetwork) {
   const traffic = {messages: 0, bytes: 0, configBytes: 0};
   network.onMessage = message => {
--- a/packages/bench/src/slopes_rules.ts
+++ b/packages/bench/src/slopes_rules.ts
@@ -1,4 +1,4 @@
-/** What rules cost a VM, by their number. */
+/** Costs of routing rules for one VM, per rule. */
 
 import {parseRuleText} from '@radishyoke/core/rules/rule_text';
 import {compileRules, resolveRule} from '@radishyoke/core/rules/rule_matcher';
--- a/packages/bench/src/slopes_streams.ts
+++ b/packages/bench/src/slopes_streams.ts
@@ -1,4 +1,4 @@
-/** What an owner spends on each piece of an engine's stream it reads. */
+/** Processor time that an owner spends per chunk of an engine's output stream. */
 
 import {Readable} from 'node:stream';
 import {Dispatcher} from 'undici';
@@ -9,7 +9,7 @@
 const chunksPerStream = 400;
 const repeats = 5;
 
-/** Tokens that the engines of this page send together. */
+/** Tokens per chunk that docs/CAPACITY.md assumes of the engines. */
 export const TOKENS_PER_CHUNK = 4;
 
 /** Answers every request with the same stream, without a socket. */
@@ -25,7 +25,7 @@
   }
 }
 
-/** Decoding and taking of chunks; the kernel's share of the socket is not in. */
+/** Measures decoding and handling of chunks, without the kernel's socket work. */
 export async function* measureStreams(): AsyncGenerator<Slope> {
   const costs: number[] = [];
   for (let i = 0; i < repeats; i++) costs.push(await measureOnce());
--- a/packages/bench/src/soak.ts
+++ b/packages/bench/src/soak.ts
@@ -1,6 +1,7 @@
 /**
- * `npm run soak -- --seed N --schedules M`: runs seeded schedules of faults over
- * the log's folds and prints the first one that breaks a promise, shrunk.
+ * `npm run soak -- --seed N --schedules M`: applies random fault schedules to the
+ * folds of the log. Prints the first schedule that violates a guarantee, after
+ * fast-check has shrunk it.
  */
 
 import {parseArgs} from 'node:util';
--- a/packages/bench/src/steps.ts
+++ b/packages/bench/src/steps.ts
@@ -1,6 +1,6 @@
 /**
- * The experiment on steps: idle time, staleness, app latency, waste and broken
- * promises for each scheduler, in calm and under each fault.
+ * The `steps` experiment: measures trainer idle time, staleness, app latency, wasted
+ * tokens and broken guarantees of each scheduler, without faults and under each one.
  */
 
 import {NaiveScheduler} from '@radishyoke/core/scheduling/naive_scheduler';
@@ -25,7 +25,7 @@
 const SEEDS = [1, 2, 3, 4, 5, 6, 7, 8, 9, 10] as const;
 const VMS = 4;
 
-/** One way of deciding, under the name it has in the output. */
+/** A scheduler to compare; `name` identifies it in the output. */
 export interface SchedulerVariant {
   readonly name: string;
   readonly create: (deployment: Deployment) => CreateScheduler;
@@ -37,7 +37,7 @@
   readonly deployment?: string;
 }
 
-/** A contender that is the policy with some parts changed. */
+/** Creates a variant that is the default policy with some options changed. */
 export function createPolicyVariant(
   name: string,
   changes: Partial<PolicyOptions>,
@@ -69,7 +69,7 @@
   createPolicyVariant('present', {}),
 ];
 
-/** Runs the chosen cases and yields one line a case and contender. */
+/** Runs the selected cases and yields one line for each case and scheduler. */
 export function* runSteps(
   options: StepsOptions,
   variants: readonly SchedulerVariant[] = SCHEDULER_VARIANTS,
--- a/packages/bench/src/steps_case.ts
+++ b/packages/bench/src/steps_case.ts
@@ -1,6 +1,6 @@
-/** The deployments and the cases that the experiment on steps goes through. */
+/** Deployments, fault cases and workload of the `steps` experiment. */
 
-/** Sizes of one deployment. */
+/** Size and timing of one deployment. */
 export interface Deployment {
   readonly name: string;
   readonly dataCentres: readonly string[];
@@ -32,21 +32,22 @@
   },
 ];
 
-/** What goes wrong in one case; absent parts don't. */
+/** Faults of one case; a property that is absent means no such fault. */
 export interface FaultCase {
   readonly name: string;
-  /** Engine 0 takes this many times as long. */
+  /** Factor by which engine 0 is slower. */
   readonly slowFactor?: number;
-  /** An engine crashes this often. */
+  /** Interval at which a random engine crashes. */
   readonly crashEveryMs?: number;
-  /** Engine 1 never takes new weights. */
+  /** Whether engine 1 fails to load new weights. */
   readonly isSwapFailing?: boolean;
-  /** One sample of each trainer's second step crashes engines. */
+  /** Whether one sample of each trainer's second step crashes the engine it runs on. */
   readonly hasPoisonSample?: boolean;
-  /** Part of the attempts whose connection goes silent. */
+  /** Fraction of attempts whose connection stops carrying data but stays open. */
   readonly silentFraction?: number;
+  /** Age of the load figures that engines report. */
   readonly loadLagMs?: number;
-  /** Another tenant sends this many samples every minute. */
+  /** Samples that another client account sends every minute. */
   readonly floodSamples?: number;
 }
 
@@ -61,13 +62,13 @@
   {name: 'flood', floodSamples: 400},
 ];
 
-/** What trainers ask for. Long tails come from the engines' length draw. */
+/** Load from trainers and apps. The random output lengths have a long tail. */
 export const WORKLOAD = {
   trainers: 3,
   stepsPerTrainer: 4,
   groupsPerStep: 12,
   samplesPerGroup: 8,
-  /** Taken in turn by the groups of a step. */
+  /** The groups of a step cycle through these limits. */
   groupMaxTokens: [3000, 6000, 12_000],
   promptTokens: 600,
   trainMs: 30_000,
--- a/packages/bench/src/steps_engines.ts
+++ b/packages/bench/src/steps_engines.ts
@@ -1,4 +1,4 @@
-/** The engines of the experiment on the virtual clock, and the streams from them. */
+/** Engines of the `steps` experiment on a virtual clock, and their output streams. */
 
 import {EngineModel} from '@radishyoke/fakes/engine_model';
 import type {EngineEvent, EngineRequest} from '@radishyoke/fakes/engine_event';
@@ -15,22 +15,22 @@
 } from '@radishyoke/core/steps/weight_rollout';
 import type {VirtualClock} from './virtual_clock.js';
 
-/** Where one attempt's news go. */
+/** Receives the events of one attempt. */
 export interface StreamListener {
   onProgress(tokens: number, weightVersion: number): void;
   onEnd(outcome: AttemptOutcome): void;
 }
 
-/** How soon a VM gives up on a connection that shows nothing. */
+/** Time after which a VM abandons a connection that carries no data. */
 const SILENT_TIMEOUT_MS = 5000;
 
 interface OpenStream {
   readonly listener: StreamListener;
   readonly spans: Array<{weightVersion: number; tokens: number}>;
-  /** Tokens that the request brought. */
+  /** Tokens of an earlier attempt that the request resumes from. */
   readonly resumedTokens: number;
   tokens: number;
-  /** From when on the connection carries nothing, though it stays open. */
+  /** Time from which the connection carries no data, though it stays open. */
   silentFromMs: number;
 }
 
@@ -45,7 +45,7 @@
     private readonly oneWayMs: number,
   ) {}
 
-  /** Sends a request; `earlier` are the spans of the output it goes on from. */
+  /** Sends a request; `earlierSpans` describe the output that it resumes from. */
   submit(
     req: EngineRequest,
     earlierSpans: readonly TokenSpan[],
@@ -63,7 +63,7 @@
         this.streams.set(req.id, {
           listener,
           spans,
-          resumedTokens: resumedTokens,
+          resumedTokens,
           tokens: 0,
           silentFromMs,
         });
@@ -84,7 +84,7 @@
     return this.streams.get(id)?.spans ?? [];
   }
 
-  /** What the engine last reported to run. */
+  /** Returns the weight version in the engine's latest load report. */
   reportVersion(): ReportedEngine {
     const {weightVersion} = this.model.reportLoad(this.clock.nowMs);
     return {id: this.id, weightVersion};
@@ -101,14 +101,14 @@
     this.advance();
   }
 
-  /** The report, unless the engine is down and doesn't answer. */
+  /** Returns the load report, or nothing while the engine is down. */
   reportLoad(): readonly LoadReport[] {
     const load = this.model.reportLoad(this.clock.nowMs);
     this.advance();
     return this.model.isDown ? [] : [{endpoint: this.id, ...load}];
   }
 
-  /** Takes what happened and comes back when the model has more. */
+  /** Handles the model's events up to now and schedules itself for the next one. */
   advance(): void {
     for (const event of this.model.advance(this.clock.nowMs))
       this.handleEvent(event);
--- a/packages/bench/src/steps_simulation.ts
+++ b/packages/bench/src/steps_simulation.ts
@@ -1,7 +1,7 @@
 /**
- * One run of the experiment: trainers ask for steps one after the other, apps
- * send requests, engines fail as the case says, and a scheduler on each VM
- * decides. Everything happens on a virtual clock.
+ * One run of the `steps` experiment on a virtual clock: each trainer requests one
+ * step after another, apps send requests, engines fail as the fault case defines,
+ * and every VM has a scheduler.
  */
 
 import {DEFAULT_ENGINE_OPTIONS} from '@radishyoke/fakes/engine_options';
@@ -39,11 +39,11 @@
   readonly seed: number;
   readonly vms: number;
   readonly createScheduler: CreateScheduler;
-  /** Whether there are rollouts; apps alone give what apps are compared to. */
+  /** Without rollouts, the run gives the baseline latency of the apps. */
   readonly withRollouts: boolean;
 }
 
-/** What one run showed. */
+/** Figures of one run. */
 export interface SimulationResult {
   readonly idleMs: number;
   readonly staleness: readonly number[];
@@ -51,20 +51,24 @@
   readonly hintMs: readonly number[];
   readonly generatedTokens: number;
   readonly deliveredTokens: number;
+  /** Delivered rollouts whose staleness exceeds the limit. */
   readonly overStale: number;
+  /** Rollouts still open at the end of the run, if a trainer did not finish. */
   readonly lost: number;
+  /** Attempts of poisonous samples that ended in a crash. */
   readonly poisonCrashes: number;
-  /** Works given up, by error kind; those of poisonous samples not counted. */
+  /** Abandoned work items by error kind, without poisonous samples and floods. */
   readonly gaveUp: Readonly<Record<string, number>>;
 }
 
+/** A work item that a scheduler has not finished or given up yet. */
 interface ActiveItem {
   readonly work: WorkItem;
   readonly vm: number;
   readonly seed: number;
   readonly isPoisonous: boolean;
   readonly openedAtMs: number;
-  /** Spans of each attempt, kept to go on from. */
+  /** Spans of each attempt's output, cached for attempts that resume from it. */
   readonly spansByAttempt: Map<number, readonly TokenSpan[]>;
   readonly endpointByAttempt: Map<number, string>;
   readonly onClosed: (result: 'done' | 'gave_up') => void;
@@ -239,7 +243,7 @@
     }
   }
 
-  // Work
+  // Work items
 
   private openStep(trainer: number, plan: TrainerPlan, index: number): void {
     const openedAtMs = this.clock.nowMs;
@@ -265,7 +269,7 @@
         maxTokens,
         seed,
         isPoisonous: Boolean(hasPoisonSample) && i === 5,
-        onClosed: onClosed,
+        onClosed,
       }),
     );
   }
@@ -364,7 +368,7 @@
     this.vms.dispatch(vm, {kind: 'enqueue', work});
   }
 
-  // What schedulers ask for
+  // Actions of the schedulers
 
   private perform(action: SchedulerAction): void {
     if (action.kind === 'report_crash') return;
@@ -436,12 +440,12 @@
             weightVersion,
           });
         },
-        onEnd: onEnd,
+        onEnd,
       },
     );
   }
 
-  /** Spans of an attempt's output; kept, as engines forget theirs. */
+  /** Returns the spans of an attempt's output; caches them, as engines drop theirs. */
   private cacheSpans(item: ActiveItem, attempt: number): readonly TokenSpan[] {
     const endpoint = item.endpointByAttempt.get(attempt)!;
     const engine = this.engines.get(endpoint);
@@ -518,7 +522,7 @@
   });
 }
 
-/** What the trainers of one seed ask for, for the bound. */
+/** Returns the demand of one seed's trainers, for computing the lower bound. */
 export function createPlans(seed: number): readonly TrainerPlan[] {
   return Array.from({length: WORKLOAD.trainers}, (_, trainer) => ({
     startAtMs: (trainer + 1) * WORKLOAD.staggerMs,
--- a/packages/bench/src/steps_threads.ts
+++ b/packages/bench/src/steps_threads.ts
@@ -1,10 +1,10 @@
-/** Runs the experiment on steps with one thread for each deployment. */
+/** Runs the `steps` experiment with one worker thread per deployment. */
 
 import {Worker} from 'node:worker_threads';
 import type {StepsOptions} from './steps.js';
 import {DEPLOYMENTS} from './steps_case.js';
 
-/** Calls `onLine` with each line as it comes; resolves once all have come. */
+/** Calls `onLine` with each line of output; resolves when all threads have exited. */
 export async function runStepsInThreads(
   options: StepsOptions,
   onLine: (line: unknown) => void,
--- a/packages/bench/src/steps_vms.ts
+++ b/packages/bench/src/steps_vms.ts
@@ -1,4 +1,4 @@
-/** The entry VMs of the experiment: one scheduler each, and what they tell one another. */
+/** VMs of the `steps` experiment: their schedulers and the messages between them. */
 
 import type {
   Scheduler,
@@ -14,7 +14,7 @@
 const DIGEST_EVERY_MS = 500;
 const DIGEST_DELAY_MS = 5;
 
-/** Builds the scheduler of one VM. */
+/** Creates the scheduler of one VM. */
 export type CreateScheduler = (vm: VmId, index: number) => Scheduler;
 
 export class StepsVms {
@@ -51,6 +51,7 @@
     return this.schedulers.length;
   }
 
+  /** Passes an event to one VM's scheduler and performs the resulting actions. */
   dispatch(vm: number, event: SchedulerEvent): void {
     const actions = this.schedulers[vm].handle(event, this.clock.nowMs);
     for (const action of actions) this.apply(vm, action);
--- a/packages/bench/src/steps_worker.ts
+++ b/packages/bench/src/steps_worker.ts
@@ -1,4 +1,4 @@
-/** Runs the experiment on steps for one deployment in a thread of its own. */
+/** Worker thread that runs the `steps` experiment for one deployment. */
 
 import {parentPort, workerData} from 'node:worker_threads';
 import {runSteps, StepsOptions} from './steps.js';
--- a/packages/bench/src/virtual_clock.ts
+++ b/packages/bench/src/virtual_clock.ts
@@ -1,4 +1,4 @@
-/** A clock that jumps from one due event to the next. */
+/** A simulated clock that jumps from one scheduled event to the next. */
 
 import {BinaryHeap} from '@radishyoke/core/scheduling/binary_heap';
 
@@ -34,7 +34,7 @@
     });
   }
 
-  /** Runs until `isOver` or `untilMs`, whichever is first. */
+  /** Runs events until `isOver` returns true or the next one is after `untilMs`. */
   run(untilMs: number, isOver: () => boolean): void {
     while (!isOver()) {
       const next = this.events.pop();
