--- a/packages/core/src/__tests__/log_promises.spec.ts
+++ b/packages/core/src/__tests__/log_promises.spec.ts
@@ -20,7 +20,7 @@
 /** Searches for a schedule with a broken promise that matches `symptom`. */
 function findViolation(guard: MissingGuard, symptom: RegExp) {
   const holds = (ops: readonly ScheduleOp[]) =>
-    !runSchedule(ops, guard).some(broken => symptom.test(broken));
+    !runSchedule(ops, guard).some(violation => symptom.test(violation));
   return fc.check(fc.property(schedule, holds), {
     seed: 2026,
     numRuns: SCHEDULES,
--- a/packages/core/src/__tests__/naive_state_fold.ts
+++ b/packages/core/src/__tests__/naive_state_fold.ts
@@ -79,11 +79,11 @@
       const isSameRequest = 'req' in value && value.req === req;
       if (!isSameRequest || this.listBefore(r.offset).some(e => isCopy(e, r)))
         continue;
-      const accepted = this.verdicts[r.offset]!.accepted;
-      if (value.kind === 'request_released' && accepted) claims = [];
+      const listAccepted = this.verdicts[r.offset]!.accepted;
+      if (value.kind === 'request_released' && listAccepted) claims = [];
       if (value.kind !== 'request_claimed') continue;
       claims.push(r);
-      if (accepted) winner = r;
+      if (listAccepted) winner = r;
     }
     const isInForce = claims.some(
       r => this.timeOf(r.offset) + this.claimHorizonMs > this.timeOf(offset),
--- a/packages/core/src/__tests__/scheduler_faults.spec.ts
+++ b/packages/core/src/__tests__/scheduler_faults.spec.ts
@@ -36,8 +36,8 @@
     return actions;
   }
 
-  add(...works: readonly WorkItem[]): void {
-    for (const work of works) this.handle({kind: 'enqueue', work});
+  add(...workItems: readonly WorkItem[]): void {
+    for (const work of workItems) this.handle({kind: 'enqueue', work});
     this.wait(100);
   }
 
@@ -146,10 +146,10 @@
 test('a request that crashes engines is refused and others in flight are not', t => {
   const harness = createHarness('a', 'b', 'c');
   const healthy = createNames(6);
-  const works = [...healthy, 'poison'].map(id =>
+  const workItems = [...healthy, 'poison'].map(id =>
     createWork(id, {maxAttempts: 6}),
   );
-  harness.add(...works);
+  harness.add(...workItems);
   let crashes = 0;
   for (; crashes < 10 && !harness.outcomeOf('poison'); crashes++) {
     const endpoint = harness.endpointOf('poison');
--- a/packages/core/src/ledger/config_freshness.ts
+++ b/packages/core/src/ledger/config_freshness.ts
@@ -127,10 +127,14 @@
     if (nowMs - confirmedAtMs <= maxConfirmationAgeMs) return {kind: 'current'};
     const reason = this.findReason(otherVms, nowMs);
     const sinceMs = Math.max(confirmedAtMs, this.startedAtMs);
-    const isTrusted =
+    const isWithinMaxAge =
       confirmedAtMs !== -Infinity &&
       nowMs - confirmedAtMs <= this.findMaxAgeMs(reason);
-    return {kind: isTrusted ? 'uncertain' : 'not_current', sinceMs, reason};
+    return {
+      kind: isWithinMaxAge ? 'uncertain' : 'not_current',
+      sinceMs,
+      reason,
+    };
   }
 
   private findMaxAgeMs(reason: UncertainReason): number {
--- a/packages/core/src/membership/contact.ts
+++ b/packages/core/src/membership/contact.ts
@@ -1,7 +1,7 @@
 /** State that a VM keeps for each VM that it exchanges messages with. */
 
-import type {InFlight} from './load_digest.js';
-import {LoadDeltaEncoder} from './load_digest.js';
+import type {InFlight} from './load_delta.js';
+import {LoadDeltaEncoder} from './load_delta.js';
 import type {Member} from './member.js';
 import {MEMBERSHIP_TIMING} from './membership_timing.js';
 import {Outbox} from './outbox.js';
--- a/packages/core/src/membership/membership.ts
+++ b/packages/core/src/membership/membership.ts
@@ -21,7 +21,7 @@
 import {ContactTable} from './contact_table.js';
 import {MemberDirectory} from './member_directory.js';
 import type {GossipMessage, GossipPayload, Rumour} from './gossip_message.js';
-import {applyLoadDelta, InFlight} from './load_digest.js';
+import {applyLoadDelta, InFlight} from './load_delta.js';
 import {isServing, Member, supersedes} from './member.js';
 import type {
   MembershipAction,
@@ -49,7 +49,7 @@
   private seq = 0;
   private nextSeedIndex = 0;
   private isOffsetPending = false;
-  private hasUrgentNews = false;
+  private hasUrgentUpdates = false;
   private wantsMembers = true;
   private lastTickMs: number;
   private lastReceivedMs: number;
@@ -219,7 +219,7 @@
   private probeFailedMember(nowMs: number): void {
     if (nowMs < this.nextFailedProbeAtMs) return;
     this.nextFailedProbeAtMs = nowMs + MEMBERSHIP_TIMING.probeFailedEveryMs;
-    this.directory.dropFailed(nowMs - MEMBERSHIP_TIMING.forgetAfterMs);
+    this.directory.dropFailed(nowMs - MEMBERSHIP_TIMING.dropFailedAfterMs);
     const failed = this.directory.list().filter(m => m.state === 'failed');
     for (const {id} of pickRandomItems(this.random, failed, 1))
       this.ping(id, nowMs);
@@ -337,7 +337,7 @@
     if (!this.rumours.recordIfNew(rumour)) return false;
     // The warning must spread faster than a resent request that crashes
     // endpoints.
-    this.hasUrgentNews = true;
+    this.hasUrgentUpdates = true;
     this.contacts.queueRumour(rumour, source);
     return true;
   }
@@ -363,14 +363,14 @@
   private refute(update: Member): void {
     if (!supersedes(update, this.self)) return;
     this.self = {...this.self, incarnation: update.incarnation + 1};
-    this.hasUrgentNews = true;
+    this.hasUrgentUpdates = true;
     this.contacts.queueRumour({kind: 'member', member: this.self});
   }
 
   private onMemberChange(member: Member): void {
     this.contacts.markNeighboursStale();
     this.isServingStale = true;
-    if (member.state !== 'alive') this.hasUrgentNews = true;
+    if (member.state !== 'alive') this.hasUrgentUpdates = true;
     if (member.state !== 'failed') return;
     const contact = this.contacts.remove(member.id);
     if (!contact || contact.peerInFlight.size === 0) return;
@@ -399,16 +399,16 @@
 
   /** Sends urgent updates at once instead of waiting for the next probe. */
   private announceIfDue(nowMs: number): void {
-    const isDue = this.isOffsetPending || this.hasUrgentNews;
+    const isDue = this.isOffsetPending || this.hasUrgentUpdates;
     if (!isDue || nowMs < this.nextAnnounceAtMs) return;
     this.nextAnnounceAtMs = nowMs + MEMBERSHIP_TIMING.announceEveryMs;
     const next = this.configs.ownNext();
     for (const [id, contact] of this.contacts.entries()) {
       const isBehind = this.isOffsetPending && contact.configNext < next;
-      if (this.hasUrgentNews || isBehind) this.ping(id, nowMs);
+      if (this.hasUrgentUpdates || isBehind) this.ping(id, nowMs);
     }
     this.isOffsetPending = false;
-    this.hasUrgentNews = false;
+    this.hasUrgentUpdates = false;
   }
 
   private leave(nowMs: number): void {
@@ -417,7 +417,7 @@
     this.self = {...this.self, incarnation, state: 'leaving'};
     this.isServingStale = true;
     this.contacts.queueRumour({kind: 'member', member: this.self});
-    this.hasUrgentNews = true;
+    this.hasUrgentUpdates = true;
     this.announceIfDue(nowMs);
   }
 
--- a/packages/core/src/membership/membership_message.ts
+++ b/packages/core/src/membership/membership_message.ts
@@ -4,7 +4,7 @@
 import type {EndpointId, VmId} from '@radishyoke/shared/ids';
 import type {ConfigTransfer} from '../rules/config_history.js';
 import type {GossipMessage} from './gossip_message.js';
-import type {InFlight} from './load_digest.js';
+import type {InFlight} from './load_delta.js';
 import type {Member} from './member.js';
 
 export type MembershipEvent =
--- a/packages/core/src/membership/membership_timing.ts
+++ b/packages/core/src/membership/membership_timing.ts
@@ -32,7 +32,7 @@
    */
   probeFailedEveryMs: 2000,
   /** Failed VMs that are not on the VM list are kept this long. */
-  forgetAfterMs: 600_000,
+  dropFailedAfterMs: 600_000,
   /** One seed is dialled this often while no other VM is known. */
   dialEveryMs: 1000,
   /**
--- a/packages/core/src/membership/neighbour_view.ts
+++ b/packages/core/src/membership/neighbour_view.ts
@@ -46,7 +46,7 @@
       distance: (computeRingPosition(member.id) - start) >>> 0,
     }))
     .sort((a, b) => a.distance - b.distance || compareIds(a.member, b.member))
-    .map(place => place.member);
+    .map(entry => entry.member);
   const local = ring.filter(other => other.dataCentre === self.dataCentre);
   const remote = ring.filter(other => other.dataCentre !== self.dataCentre);
   const near = local.slice(0, LOCAL_NEIGHBOURS);
--- a/packages/core/src/membership/rumour_filter.ts
+++ b/packages/core/src/membership/rumour_filter.ts
@@ -9,8 +9,8 @@
 
   /** Returns whether the rumour is new, and records it as seen. */
   recordIfNew(rumour: Rumour): boolean {
-    const occasion = rumour.kind === 'silent_endpoint' ? rumour.seenAtMs : '';
-    const key = `${toRumourKey(rumour)}:${occasion}`;
+    const occurrence = rumour.kind === 'silent_endpoint' ? rumour.seenAtMs : '';
+    const key = `${toRumourKey(rumour)}:${occurrence}`;
     if (this.seen.has(key)) return false;
     this.seen.add(key);
     if (this.seen.size > MEMBERSHIP_LIMITS.seenRumours) {
--- a/packages/core/src/membership/suspect_table.ts
+++ b/packages/core/src/membership/suspect_table.ts
@@ -13,7 +13,7 @@
 }
 
 /** Maximum crashes kept for each fingerprint. */
-const MAX_ENDPOINTS_KEPT = 8;
+const MAX_CRASHES_PER_FINGERPRINT = 8;
 /** Maximum fingerprints kept; the oldest are dropped first. */
 const MAX_SUSPECTS = 10_000;
 
@@ -39,7 +39,7 @@
       const earlier = this.suspects.get(fingerprint)?.endpoints ?? [];
       this.suspects.delete(fingerprint);
       this.suspects.set(fingerprint, {
-        endpoints: [...earlier, endpoint].slice(-MAX_ENDPOINTS_KEPT),
+        endpoints: [...earlier, endpoint].slice(-MAX_CRASHES_PER_FINGERPRINT),
         lastCrashAtMs: nowMs,
       });
     }
--- a/packages/core/src/steps/sample_states.ts
+++ b/packages/core/src/steps/sample_states.ts
@@ -3,7 +3,7 @@
 import type {RadishyokeError} from '@radishyoke/shared/error_kind';
 import type {CommittedSample} from '@radishyoke/shared/log_record';
 import {
-  formatSampleKey,
+  buildSampleKey,
   SampleOutput,
   SampleRef,
   StepProgress,
@@ -53,13 +53,13 @@
   }
 
   get(ref: SampleRef): SampleState | undefined {
-    return this.entries.get(formatSampleKey(ref))?.state;
+    return this.entries.get(buildSampleKey(ref))?.state;
   }
 
   set(ref: SampleRef, state: SampleState): void {
     const {group, sample} = ref;
     const entry = {ref: {group, sample}, state};
-    this.entries.set(formatSampleKey(ref), entry);
+    this.entries.set(buildSampleKey(ref), entry);
   }
 
   isRunning(ref: SampleRef): boolean {
--- a/packages/core/src/steps/step_ledger.ts
+++ b/packages/core/src/steps/step_ledger.ts
@@ -44,7 +44,7 @@
 }
 
 /** Attempts kept for each sample: the first one, its hedge and a retry. */
-const ATTEMPTS_KEPT_PER_SAMPLE = 3;
+const RETAINED_ATTEMPTS_PER_SAMPLE = 3;
 
 /** Returns the key of a step across tenants, `tenant/step`. */
 export function buildStepKey(tenant: TenantId, step: StepId): string {
@@ -216,7 +216,7 @@
     );
     attempts.push(attempt);
     attempts.sort((a, b) => a.attempt - b.attempt);
-    this.started.set(key, attempts.slice(-ATTEMPTS_KEPT_PER_SAMPLE));
+    this.started.set(key, attempts.slice(-RETAINED_ATTEMPTS_PER_SAMPLE));
   }
 
   private hasSample(group: number, sample: number): boolean {
--- a/packages/core/src/steps/step_machine.ts
+++ b/packages/core/src/steps/step_machine.ts
@@ -24,7 +24,7 @@
 import {Delivery} from './delivery.js';
 import {SampleStates, SettledState} from './sample_states.js';
 import {
-  formatSampleKey,
+  buildSampleKey,
   SampleOutput,
   SampleRef,
   StepHistory,
@@ -178,7 +178,7 @@
   }
 
   private run(ref: SampleRef, out: StepOutput[]): void {
-    const key = formatSampleKey(ref);
+    const key = buildSampleKey(ref);
     this.states.set(ref, {kind: 'running'});
     out.push({
       kind: 'run',
@@ -191,7 +191,7 @@
 
   /** Records a started attempt, so that its number is never reused. */
   recordAttempt(ref: SampleRef, attempt: number): void {
-    const key = formatSampleKey(ref);
+    const key = buildSampleKey(ref);
     const highest = this.attempts.get(key) ?? 0;
     this.attempts.set(key, Math.max(highest, attempt));
   }
--- a/packages/core/src/steps/step_message.ts
+++ b/packages/core/src/steps/step_message.ts
@@ -105,6 +105,6 @@
 }
 
 /** Returns the key of a sample within its step. */
-export function formatSampleKey(ref: SampleRef): string {
+export function buildSampleKey(ref: SampleRef): string {
   return `${ref.group}/${ref.sample}`;
 }
--- a/packages/daemon/src/audit/audit_recorder.ts
+++ b/packages/daemon/src/audit/audit_recorder.ts
@@ -7,7 +7,7 @@
 import type {ConfigVersion} from '@radishyoke/core/rules/config_history';
 import {computeDigest} from '@radishyoke/core/ledger/digest';
 import type {StepLedger} from '@radishyoke/core/steps/step_ledger';
-import {formatSampleKey, SampleRef} from '@radishyoke/core/steps/step_message';
+import {buildSampleKey, SampleRef} from '@radishyoke/core/steps/step_message';
 import {toTeamId, type TeamId, type TenantId} from '@radishyoke/shared/ids';
 import type {
   CommittedSample,
@@ -45,7 +45,7 @@
   ): void {
     const step = this.attempts.get(key) ?? new Map<string, AuditAttempt[]>();
     this.attempts.set(key, step);
-    const sample = formatSampleKey(ref);
+    const sample = buildSampleKey(ref);
     step.set(sample, [...(step.get(sample) ?? []), ...attempts]);
   }
 
@@ -138,8 +138,8 @@
     winner: CommittedSample,
   ): readonly AuditAttempt[] {
     const step = this.attempts.get(ledger.key);
-    const observed = step?.get(formatSampleKey(winner)) ?? [];
-    step?.delete(formatSampleKey(winner));
+    const observed = step?.get(buildSampleKey(winner)) ?? [];
+    step?.delete(buildSampleKey(winner));
     const logged = listLoggedAttempts(ledger, winner).filter(
       ({attempt}) => !observed.some(entry => entry.attempt === attempt),
     );
--- a/packages/daemon/src/peers/peer_task.ts
+++ b/packages/daemon/src/peers/peer_task.ts
@@ -5,7 +5,7 @@
  */
 
 import type {ConfigTransfer} from '@radishyoke/core/rules/config_history';
-import type {InFlight} from '@radishyoke/core/membership/load_digest';
+import type {InFlight} from '@radishyoke/core/membership/load_delta';
 import type {Member} from '@radishyoke/core/membership/member';
 import {Membership} from '@radishyoke/core/membership/membership';
 import type {
--- a/packages/daemon/src/steps/step_runs.ts
+++ b/packages/daemon/src/steps/step_runs.ts
@@ -8,7 +8,7 @@
 import type {WorkItem} from '@radishyoke/core/scheduling/scheduler';
 import type {StepLedger} from '@radishyoke/core/steps/step_ledger';
 import {
-  formatSampleKey,
+  buildSampleKey,
   SampleOutput,
   SampleRef,
   StepOutput,
@@ -75,7 +75,7 @@
       ref,
       adoptable?.attempt ?? order.firstAttempt,
     );
-    this.runs.set(formatSampleKey(ref), {ref, runner});
+    this.runs.set(buildSampleKey(ref), {ref, runner});
     if (!adoptable) {
       runner.submit();
       return;
@@ -85,7 +85,7 @@
   }
 
   abandon(ref: SampleRef): void {
-    const run = this.runs.get(formatSampleKey(ref));
+    const run = this.runs.get(buildSampleKey(ref));
     if (!run) return;
     this.options.dispatcher.cancel(run.runner.workId);
     run.runner.stopAll();
@@ -142,7 +142,7 @@
       model,
       prompt,
       maxTokens,
-      seed: hashSeed(`${ledger.key}/${formatSampleKey(ref)}`),
+      seed: hashSeed(`${ledger.key}/${buildSampleKey(ref)}`),
       http,
       dispatcher,
       onAttemptStart: (attempt, endpoint) =>
@@ -165,8 +165,8 @@
     const {ledger, dispatcher, fencing} = this.options;
     const last = ledger.listAttempts(ref.group, ref.sample).at(-1);
     if (!last || last.fencing === fencing) return undefined;
-    if (this.adoptedSamples.has(formatSampleKey(ref))) return undefined;
-    this.adoptedSamples.add(formatSampleKey(ref));
+    if (this.adoptedSamples.has(buildSampleKey(ref))) return undefined;
+    this.adoptedSamples.add(buildSampleKey(ref));
     const endpoint = dispatcher.findEndpoint(last.endpoint);
     return endpoint && {...last, endpoint};
   }
@@ -176,7 +176,7 @@
     const {tenant, req} = ledger.opening;
     const {prompt, maxTokens} = req.groups[order.group];
     return {
-      id: `${ledger.key}/${formatSampleKey(order)}#${++this.workItemCount}`,
+      id: `${ledger.key}/${buildSampleKey(order)}#${++this.workItemCount}`,
       tenant,
       workClass: 'rollout',
       group: action.group,
@@ -204,7 +204,7 @@
    * count as wasted.
    */
   private endRun(ref: SampleRef, usedTokens = 0): void {
-    const key = formatSampleKey(ref);
+    const key = buildSampleKey(ref);
     const run = this.runs.get(key);
     if (!run) return;
     this.runs.delete(key);
--- a/packages/daemon/src/steps/step_task.ts
+++ b/packages/daemon/src/steps/step_task.ts
@@ -10,7 +10,7 @@
 import type {RouteAction} from '@radishyoke/core/rules/rule';
 import type {StepLedger} from '@radishyoke/core/steps/step_ledger';
 import {
-  formatSampleKey,
+  buildSampleKey,
   SampleOutput,
   SampleRef,
   StepHistory,
@@ -296,7 +296,7 @@
   ledger.opening.req.groups.forEach((request, group) => {
     for (let sample = 0; sample < request.samples; sample++) {
       const highest = ledger.findHighestAttempt(group, sample);
-      if (highest > 0) attempts.set(formatSampleKey({group, sample}), highest);
+      if (highest > 0) attempts.set(buildSampleKey({group, sample}), highest);
     }
   });
   return {
