--- a/packages/core/src/__tests__/log_promises.spec.ts
+++ b/packages/core/src/__tests__/log_promises.spec.ts
@@ -17,7 +17,7 @@
 );
 const schedule = fc.array(op, {maxLength: OPS_MAX, size: 'max'});
 
-/** Searches for a schedule with a broken promise that matches `symptom`. */
+/** Searches for a schedule with a violated guarantee that matches `symptom`. */
 function findViolation(guard: MissingGuard, symptom: RegExp) {
   const holds = (ops: readonly ScheduleOp[]) =>
     !runSchedule(ops, guard).some(violation => symptom.test(violation));
@@ -33,7 +33,7 @@
 // ledger, no request id runs twice, no configuration reverts or comes into
 // force after it was reported as failed, no record of a former owner counts,
 // and all VMs reach the same state.
-test('all promises hold over seeded schedules', t => {
+test('all guarantees hold over seeded schedules', t => {
   const details = findViolation('none', /./);
   const [ops] = details.counterexample ?? [];
   t.deepEqual(ops && [ops, runSchedule(ops)], undefined);
@@ -41,7 +41,7 @@
 
 interface MissingGuardCase {
   readonly guard: MissingGuard;
-  /** Broken promise that a user would see without the guard. */
+  /** The violated guarantee that a user would notice without the guard. */
   readonly symptom: RegExp;
 }
 
@@ -54,7 +54,7 @@
 ];
 
 for (const {guard, symptom} of MISSING_GUARDS) {
-  test(`the schedules catch a system without the guard ${guard}`, t => {
+  test(`the schedules detect a system without the guard ${guard}`, t => {
     t.true(findViolation(guard, symptom).failed);
   });
 }
--- a/packages/core/src/__tests__/naive_state_fold.ts
+++ b/packages/core/src/__tests__/naive_state_fold.ts
@@ -168,7 +168,7 @@
     return this.timeOf(last.offset) + last.value.ttlMs > this.timeOf(offset);
   }
 
-  /** Log time, with steps back counted as no elapsed time. */
+  /** Returns the log time; backward jumps count as no elapsed time. */
   private timeOf(offset: number): number {
     let timeMs = 0;
     for (let i = 0; i <= offset; i++) {
--- a/packages/core/src/ledger/__tests__/naive_state_fold.spec.ts
+++ b/packages/core/src/ledger/__tests__/naive_state_fold.spec.ts
@@ -131,7 +131,7 @@
 
 // Guards against a VM that starts from a checkpoint, reaches a different state
 // and acts as a second owner of a step.
-test('folding on from a checkpoint at any offset gives the same state', t => {
+test('resuming the fold from a checkpoint at any offset gives the same state', t => {
   fc.assert(
     fc.property(
       fc.array(choiceArbitrary, {maxLength: 60, size: 'max'}),
--- a/packages/core/src/ledger/checkpoint.ts
+++ b/packages/core/src/ledger/checkpoint.ts
@@ -9,7 +9,10 @@
 
 /** Maximum length of the snapshot text in one record, in characters. */
 const PART_CHARS = 48_000;
-/** Incomplete checkpoints kept while reading; the oldest are dropped first. */
+/**
+ * Maximum number of incomplete checkpoints cached while reading; the oldest are
+ * dropped first.
+ */
 const MAX_UNFINISHED = 16;
 
 /** A checkpoint part without the stamp, which its writer adds. */
@@ -90,7 +93,7 @@
 }
 
 /**
- * Retained range of a stream, from which it is decided if a checkpoint is due.
+ * Retained range of a stream, which determines whether a checkpoint is due.
  */
 export interface StreamWindow {
   readonly oldest: number;
--- a/packages/core/src/ledger/config_freshness.ts
+++ b/packages/core/src/ledger/config_freshness.ts
@@ -1,4 +1,7 @@
-/** Tracks whether a VM knows that its configuration is the one in force. */
+/**
+ * Tracks whether a VM has recent confirmation that its configuration is the one
+ * in force.
+ */
 
 import type {VmId} from '@radishyoke/shared/ids';
 
--- a/packages/core/src/ledger/digest.ts
+++ b/packages/core/src/ledger/digest.ts
@@ -8,7 +8,8 @@
 }
 
 /**
- * Prompt characters that identify its cached prefix, same as in the engines.
+ * Number of leading characters of a prompt that identify its cached prefix;
+ * must equal the number that the engines use.
  */
 const prefixChars = 256;
 
--- a/packages/core/src/ledger/log_clock.ts
+++ b/packages/core/src/ledger/log_clock.ts
@@ -8,10 +8,10 @@
 
 /**
  * A monotonic clock derived from the log's timestamps. If the log's clock is
- * set back, a dead VM would keep its session and leases for the size of the
- * step, so a step back counts as no elapsed time and the time after it counts
- * in full. A step forward expires sessions early; because of fencing numbers
- * this costs only a takeover.
+ * set back, a dead VM would keep its session and leases longer by as much as
+ * the clock was set back. A backward jump therefore counts as no elapsed time,
+ * and the time after it counts in full. A forward jump expires sessions early;
+ * because of fencing numbers this costs only a takeover.
  */
 export class LogClock {
   private current: number;
--- a/packages/core/src/ledger/request_claims.ts
+++ b/packages/core/src/ledger/request_claims.ts
@@ -1,4 +1,4 @@
-/** At-most-once claims on callers' request ids, remembered for a horizon. */
+/** At-most-once claims on callers' request ids, retained for a time horizon. */
 
 /** One claimed id: key, writer of the winning claim, time of the last claim. */
 export type ClaimEntry = readonly [string, string, number];
@@ -40,8 +40,8 @@
     this.dropExpired(nowMs);
     const existing = this.claims.get(key);
     // Dropping the oldest claim to make room would let a resent request run
-    // twice unnoticed. A refused request has not run, and its caller learns
-    // that.
+    // twice unnoticed. A refused request has not run, and the response to its
+    // caller states that.
     if (existing === undefined && this.claims.size >= MAX_REQUEST_CLAIMS) {
       return 'full';
     }
--- a/packages/core/src/ledger/state_fold.ts
+++ b/packages/core/src/ledger/state_fold.ts
@@ -21,15 +21,17 @@
 import {ACCEPTED, type Verdict, voidBecause} from './verdict.js';
 import {buildWriterKey, type WriterEntry, WriterTable} from './writer_table.js';
 
-/** How long a request claim is kept after the last attempt to claim the id. */
+/**
+ * How long a request claim is retained after the last attempt to claim its id.
+ */
 export const DEFAULT_CLAIM_HORIZON_MS = 3_600_000;
-/** How long a closed step is kept for late readers. */
+/** How long a closed step is retained for late readers. */
 const CLOSED_STEP_RETENTION_MS = 600_000;
-/** How long a step that was never closed is kept after its timeout. */
+/** How long a step that was never closed is retained after its timeout. */
 const OVERDUE_STEP_RETENTION_MS = 3_600_000;
 /**
- * How long an expired session is kept. For a while after a log outage, VMs use
- * a log time from before the outage, at which the session was still live.
+ * How long an expired session is retained. For a while after a log outage, VMs
+ * use a log time from before the outage, at which the session was still live.
  */
 const EXPIRED_SESSION_RETENTION_MS = 3_600_000;
 const IDLE_LEASE_RETENTION_MS = 86_400_000;
@@ -165,7 +167,7 @@
     return [...this.stepMap.values()];
   }
 
-  /** Open steps whose lease nobody holds at log time `nowMs`. */
+  /** Returns the open steps whose lease no VM holds at log time `nowMs`. */
   listUnownedSteps(nowMs: number): readonly StepLedger[] {
     return this.listSteps().filter(step => {
       if (step.closed !== undefined) return false;
@@ -179,7 +181,7 @@
     return this.claims.findWinner(`${tenant}/${req}`);
   }
 
-  /** Highest sequence number seen from a writer. */
+  /** Returns the highest sequence number of a writer; 0 for none. */
   highestSeqOf(writer: string): number {
     return this.writers.highestSeqOf(writer);
   }
--- a/packages/core/src/ledger/writer_table.ts
+++ b/packages/core/src/ledger/writer_table.ts
@@ -13,7 +13,7 @@
 }
 
 /**
- * Highest sequence number seen from each writer. A writer repeats an append
+ * Highest sequence number read from each writer. A writer repeats an append
  * whose response was lost, so the same number can occur twice. Writers append
  * in the order of their numbers and never skip one for good, so a number at or
  * below the highest is a duplicate.
@@ -39,7 +39,7 @@
     return true;
   }
 
-  /** Highest sequence number of a writer; 0 for none. */
+  /** Returns the highest sequence number of a writer; 0 for none. */
   highestSeqOf(writer: string): number {
     return this.highest.get(writer)?.seq ?? 0;
   }
--- a/packages/core/src/membership/__tests__/membership.spec.ts
+++ b/packages/core/src/membership/__tests__/membership.spec.ts
@@ -141,9 +141,9 @@
 }
 
 // Guards against a crashed VM that keeps its share of every limit for minutes,
-// so that queues fill. It happens if the other VMs learn of the crash only from
-// the VM list, which lags.
-test('a dead VM is failed everywhere within seconds at 360 VMs', t => {
+// so that queues fill. It happens if the other VMs detect the crash only by the
+// VM list, which lags.
+test('all of 360 VMs declare a dead VM failed within seconds', t => {
   const network = new MembershipNetwork({vms: 360, dataCentres: 9, seed: SEED});
   network.run(SETTLE_MS);
   network.nodes[77].isUp = false;
@@ -160,7 +160,7 @@
 // Guards against treating a silent connection as a dead VM: half the
 // connections go silent for good at once, new ones work, and no VM may lose its
 // share.
-test('silent connections make no VM fail', t => {
+test('silent connections cause no VM to be declared failed', t => {
   const network = new MembershipNetwork({vms: 13, dataCentres: 3, seed: SEED});
   network.run(SETTLE_MS);
   network.silenceConnections(50);
--- a/packages/core/src/membership/contact.ts
+++ b/packages/core/src/membership/contact.ts
@@ -1,4 +1,4 @@
-/** State that a VM keeps for each VM that it exchanges messages with. */
+/** State that a VM stores for each VM that it exchanges messages with. */
 
 import type {InFlight} from './load_delta.js';
 import {LoadDeltaEncoder} from './load_delta.js';
@@ -37,7 +37,7 @@
      */
     private readonly probeDelayMs: number,
   ) {
-    // A contact known only from the VM list is probed at once.
+    // A new contact counts as silent for one period, so it is probed at once.
     this.lastReceivedMs = nowMs - MEMBERSHIP_TIMING.probePeriodMs;
     this.lastPayloadMs = this.lastReceivedMs;
   }
@@ -70,7 +70,7 @@
 
   /**
    * Returns the next step of the probe if one is due. An open connection can go
-   * silent for good while new ones work, so that a live VM seems not to answer.
+   * silent for good while new ones work, so that a live VM seems unresponsive.
    * Silence therefore first replaces the connection, then triggers probes by
    * other VMs, and only then makes the VM suspected.
    */
--- a/packages/core/src/membership/contact_table.ts
+++ b/packages/core/src/membership/contact_table.ts
@@ -81,7 +81,8 @@
   }
 
   /**
-   * Contacts with config records past `offset`, most recently heard from first.
+   * Returns the contacts with config records past `offset`, those whose last
+   * message is most recent first.
    */
   listWithConfigPast(offset: number): readonly VmId[] {
     return [...this.contacts]
--- a/packages/core/src/membership/gossip_message.ts
+++ b/packages/core/src/membership/gossip_message.ts
@@ -16,7 +16,7 @@
       readonly kind: 'silent_endpoint';
       readonly endpoint: EndpointId;
       /**
-       * Unix ms at the VM that noticed it; distinguishes separate occurrences.
+       * Unix ms at the VM that detected it; distinguishes separate occurrences.
        */
       readonly seenAtMs: number;
     };
@@ -34,7 +34,7 @@
   readonly entries: readonly LoadEntry[];
 }
 
-/** Data carried by every probe and answer. */
+/** Data carried by every `ping` and `ack`. */
 export interface GossipPayload {
   /** Omitted if it was already sent on this connection. */
   readonly self?: Member;
@@ -42,7 +42,7 @@
   readonly load?: LoadDelta;
   /** Offset of the first config record that the sender does not have. */
   readonly configNext: number;
-  /** Requests the whole directory; set by a VM that has not received it yet. */
+  /** Requests the complete directory; set by a VM that has not received it. */
   readonly wantsMembers: boolean;
 }
 
@@ -57,13 +57,13 @@
       readonly seq: number;
       readonly payload: GossipPayload;
     }
-  /** Asks the receiver to probe `target` for the sender. */
+  /** Requests that the receiver probe `target` for the sender. */
   | {
       readonly kind: 'probe_request';
       readonly target: VmId;
       readonly address: string;
     }
-  /** Tells the requester of a probe that `target` sent a message. */
+  /** Reports to the requester of a probe that `target` sent a message. */
   | {readonly kind: 'probe_heard'; readonly target: VmId}
   | {readonly kind: 'members'; readonly members: readonly Member[]}
   | {readonly kind: 'config_request'; readonly from: number}
--- a/packages/core/src/membership/member.ts
+++ b/packages/core/src/membership/member.ts
@@ -9,7 +9,10 @@
 
 import type {DataCentreId, VmId} from '@radishyoke/shared/ids';
 
-/** `leaving` VMs answer peers but accept no new work; `failed` VMs are gone. */
+/**
+ * `leaving` VMs respond to peers but accept no new work; `failed` VMs count as
+ * stopped.
+ */
 export type MemberState = 'alive' | 'leaving' | 'suspect' | 'failed';
 
 /** The index is the wire code; at equal incarnations later states win. */
@@ -28,7 +31,7 @@
   /** `ip:port` of the VM's caller listener. */
   readonly callerAddress: string;
   readonly dataCentre: DataCentreId;
-  /** 0 if the VM is only known from the VM list. */
+  /** 0 if only the VM list has reported the VM. */
   readonly incarnation: number;
   readonly state: MemberState;
 }
--- a/packages/core/src/membership/member_directory.ts
+++ b/packages/core/src/membership/member_directory.ts
@@ -1,6 +1,6 @@
 /**
- * Directory of all VMs that this VM knows, with its current belief about each.
- * Bounded: a VM beyond the capacity is ignored, whoever reports it.
+ * Directory of the VMs that were reported to this VM, with its current belief
+ * about each. A VM beyond the capacity is ignored, whoever reports it.
  */
 
 import type {VmInfo} from '@radishyoke/shared/endpoint';
@@ -32,7 +32,10 @@
     return [...this.entries.values()].map(entry => entry.member);
   }
 
-  /** Whether any VM that has not failed is known from more than the VM list. */
+  /**
+   * Whether any VM that has not failed was reported by itself or another VM,
+   * not only by the VM list.
+   */
   hasConfirmedMember(): boolean {
     for (const {member} of this.entries.values()) {
       if (member.incarnation > 0 && member.state !== 'failed') return true;
@@ -97,7 +100,7 @@
    * Converts an entry of the VM list to a belief. The list lags, so it may
    * still call a VM leaving whose process was replaced, and the new process
    * would get no work. So only a change to leaving counts, and only for the
-   * incarnation known when the change is seen.
+   * incarnation in the directory at that time.
    */
   private toUpdate(vm: VmInfo, previous: VmInfo | undefined): Member {
     const {id, peerAddress, callerAddress, dataCentre} = vm;
--- a/packages/core/src/membership/membership.ts
+++ b/packages/core/src/membership/membership.ts
@@ -85,7 +85,7 @@
     return this.actions;
   }
 
-  /** All VMs in the directory and this VM, which comes first. */
+  /** Returns all VMs in the directory and this VM, which comes first. */
   listMembers(): readonly Member[] {
     return [this.self, ...this.directory.list()];
   }
@@ -206,8 +206,8 @@
     const timing = MEMBERSHIP_TIMING;
     const silentMs = nowMs - this.lastReceivedMs;
     // To a VM that is cut off, all other VMs seem silent. If it failed them, it
-    // would claim the whole capacity of the service and send each endpoint the
-    // load of all VMs.
+    // would claim the complete capacity of the service and send each endpoint
+    // the load of all VMs.
     const isIsolated = silentMs > timing.isolatedAfterMs;
     const waitMs = isIsolated ? timing.failAfterIsolatedMs : timing.failAfterMs;
     for (const member of this.directory.listSuspectedSince(nowMs - waitMs)) {
@@ -322,8 +322,8 @@
 
   /**
    * Sends the current belief to a VM that reported an older one. Otherwise VMs
-   * that know a VM only from the VM list would fail it among themselves, while
-   * VMs with a newer belief about it would never learn of the failure.
+   * that have a VM only from the VM list would fail it among themselves, while
+   * VMs with a newer belief about it would never receive the failure.
    */
   private sendCorrection(update: Member, source: VmId): void {
     const current = this.directory.get(update.id);
@@ -332,7 +332,7 @@
     this.contacts.get(source)?.outbox.add(rumour);
   }
 
-  /** Spreads a rumour that is not about a VM; returns false if it was known. */
+  /** Spreads a rumour that is not about a VM; returns whether it was new. */
   private spreadIfNew(rumour: Rumour, source?: VmId): boolean {
     if (!this.rumours.recordIfNew(rumour)) return false;
     // The warning must spread faster than a resent request that crashes
@@ -356,9 +356,10 @@
   }
 
   /**
-   * Refutes a wrong belief about this VM: that it is dead, as after a pause, or
-   * one about an earlier process with a higher incarnation, as after its clock
-   * was set back. Only this VM may raise its incarnation, which overrides both.
+   * Refutes a wrong belief about this VM: that it has failed, as after a pause,
+   * or one about an earlier process with a higher incarnation, as after its
+   * clock was set back. Only this VM may raise its incarnation, which overrides
+   * both.
    */
   private refute(update: Member): void {
     if (!supersedes(update, this.self)) return;
--- a/packages/core/src/membership/membership_timing.ts
+++ b/packages/core/src/membership/membership_timing.ts
@@ -15,12 +15,12 @@
   /** Time from a probe to suspicion. */
   suspectAfterMs: 2200,
   /**
-   * Time from suspicion to failure, in which the VM can learn of it and refute.
+   * Time from suspicion to failure, in which the VM can receive and refute it.
    */
   failAfterMs: 2500,
   /**
-   * The same while this VM receives nothing, as it is then likely cut off
-   * itself.
+   * The same time while this VM receives nothing, as it is then probably cut
+   * off itself.
    */
   failAfterIsolatedMs: 15_000,
   /** A VM that receives nothing for this long counts as cut off. */
@@ -31,9 +31,9 @@
    * One random failed VM is probed this often, to detect a healed partition.
    */
   probeFailedEveryMs: 2000,
-  /** Failed VMs that are not on the VM list are kept this long. */
+  /** Failed VMs that are not on the VM list are dropped after this time. */
   dropFailedAfterMs: 600_000,
-  /** One seed is dialled this often while no other VM is known. */
+  /** Interval at which one seed is dialled while no other VM is confirmed. */
   dialEveryMs: 1000,
   /**
    * A contact that is not a neighbour is dropped after this time of silence.
@@ -56,12 +56,12 @@
   /** VMs in the directory; about 200 bytes each. */
   directory: 1024,
   contacts: 64,
-  /** VMs that are asked for an indirect probe. */
+  /** Number of VMs that are requested to probe a VM indirectly. */
   helpers: 3,
   /** Rumours queued for one contact. */
   outbox: 1024,
   rumoursPerMessage: 6,
-  /** Rumours remembered so that none is spread twice. */
+  /** Rumours tracked so that none is spread twice. */
   seenRumours: 4096,
   membersPerMessage: 256,
   relays: 64,
--- a/packages/core/src/membership/neighbour_view.ts
+++ b/packages/core/src/membership/neighbour_view.ts
@@ -12,7 +12,10 @@
 import type {VmId} from '@radishyoke/shared/ids';
 import type {Member} from './member.js';
 
-/** Up to this many other VMs are all probed, as in a deployment of 13 VMs. */
+/**
+ * Maximum number of other VMs that are all probed; enough for a deployment of
+ * 13 VMs.
+ */
 export const MAX_NEIGHBOURS = 16;
 const LOCAL_NEIGHBOURS = 5;
 const REMOTE_NEIGHBOURS = 3;
--- a/packages/core/src/membership/rumour_filter.ts
+++ b/packages/core/src/membership/rumour_filter.ts
@@ -1,4 +1,4 @@
-/** Filters out rumours that this VM has already seen. */
+/** Filters out rumours that this VM has already received. */
 
 import type {Rumour} from './gossip_message.js';
 import {MEMBERSHIP_LIMITS} from './membership_timing.js';
@@ -7,7 +7,7 @@
 export class RumourFilter {
   private readonly seen = new Set<string>();
 
-  /** Returns whether the rumour is new, and records it as seen. */
+  /** Returns whether the rumour is new, and records it. */
   recordIfNew(rumour: Rumour): boolean {
     const occurrence = rumour.kind === 'silent_endpoint' ? rumour.seenAtMs : '';
     const key = `${toRumourKey(rumour)}:${occurrence}`;
--- a/packages/core/src/membership/suspect_table.ts
+++ b/packages/core/src/membership/suspect_table.ts
@@ -12,9 +12,9 @@
   readonly crashes: number;
 }
 
-/** Maximum crashes kept for each fingerprint. */
+/** Maximum number of crashes stored for each fingerprint. */
 const MAX_CRASHES_PER_FINGERPRINT = 8;
-/** Maximum fingerprints kept; the oldest are dropped first. */
+/** Maximum number of fingerprints; the oldest are dropped first. */
 const MAX_SUSPECTS = 10_000;
 
 /** Crash histories by request fingerprint. */
--- a/packages/core/src/rules/__tests__/rule_text.spec.ts
+++ b/packages/core/src/rules/__tests__/rule_text.spec.ts
@@ -111,7 +111,7 @@
     problem: 'rules.ini:4: [rule.10] then.group: expected a group',
   },
   {
-    name: 'refusal that may have run',
+    name: 'refusal with an error kind for requests that may have run',
     from: 'refused_by_rule',
     to: 'endpoint_failed',
     problem: 'rules.ini:11: [rule.2] then.refuse: expected one of bad_request',
--- a/packages/core/src/rules/config_catch_up.ts
+++ b/packages/core/src/rules/config_catch_up.ts
@@ -1,8 +1,8 @@
 /**
  * Chooses the VM from which this VM requests missing config records while its
- * own log connection delivers none. Only one VM is asked at a time, so that
- * records are not transferred repeatedly; if it does not answer, another one is
- * asked.
+ * own log connection delivers none. A request goes to only one VM at a time, so
+ * that records are not transferred repeatedly; if it does not answer, the next
+ * request goes to another one.
  */
 
 import type {VmId} from '@radishyoke/shared/ids';
@@ -46,7 +46,9 @@
     return true;
   }
 
-  /** Returns the VM to ask now, chosen from `ahead`, or undefined to wait. */
+  /**
+   * Returns the VM of `ahead` to send a request to now, or undefined to wait.
+   */
   chooseSource(ahead: readonly VmId[], nowMs: number): VmId | undefined {
     if (this.highestSeen <= this.next || ahead.length === 0) return undefined;
     if (nowMs - this.requestedAtMs < MEMBERSHIP_TIMING.configRetryMs) {
--- a/packages/core/src/rules/config_history.ts
+++ b/packages/core/src/rules/config_history.ts
@@ -81,7 +81,7 @@
     }
   | {readonly kind: 'snapshot'; readonly snapshot: ConfigSnapshot};
 
-/** Stands for the version of a team that has none. */
+/** Version number of a team that has no configuration yet. */
 export const NO_VERSION = -1;
 /**
  * Maximum number of versions retained per team; older ones are in the audit
@@ -130,7 +130,7 @@
     return this.clock.nowMs;
   }
 
-  /** Returns the highest sequence number seen from a writer. */
+  /** Returns the highest sequence number of a writer; 0 for none. */
   highestSeqOf(writer: string): number {
     return this.writers.highestSeqOf(writer);
   }
--- a/packages/core/src/rules/config_problem.ts
+++ b/packages/core/src/rules/config_problem.ts
@@ -12,7 +12,7 @@
   readonly line: number;
   /** Empty if the mistake is outside any section. */
   readonly section: string;
-  /** Empty if the mistake concerns the complete section. */
+  /** Empty if the mistake concerns the section as such. */
   readonly key: string;
   readonly expected: string;
   readonly found: string;
--- a/packages/core/src/rules/key_spec.ts
+++ b/packages/core/src/rules/key_spec.ts
@@ -46,7 +46,7 @@
   type: ValueType<T>,
   description: string,
 ): KeySpec<T> {
-  return {type, description: description};
+  return {type, description};
 }
 
 /** A key with a default, given as the text that a file would contain. */
@@ -55,7 +55,7 @@
   defaultText: string,
   description: string,
 ): KeySpec<T> {
-  return {type, description: description, defaultText: defaultText};
+  return {type, description, defaultText};
 }
 
 /** A key that is read as undefined when it is absent. */
@@ -63,9 +63,7 @@
   type: ValueType<T>,
   description: string,
 ): KeySpec<T | undefined> {
-  return {type, description: description, optional: true} as KeySpec<
-    T | undefined
-  >;
+  return {type, description, optional: true} as KeySpec<T | undefined>;
 }
 
 function createType<T>(
--- a/packages/core/src/rules/rule.ts
+++ b/packages/core/src/rules/rule.ts
@@ -55,7 +55,7 @@
   readonly maxAttempts: number;
   readonly timeoutMs: number;
   /**
-   * Upper limit on the staleness bound that a step asks for, in weight
+   * Upper limit on the staleness bound that a step requests, in weight
    * versions.
    */
   readonly maxStaleness?: number;
--- a/packages/core/src/rules/rule_schema.ts
+++ b/packages/core/src/rules/rule_schema.ts
@@ -27,8 +27,8 @@
 const WORK_CLASSES: readonly WorkClass[] = ['interactive', 'rollout'];
 
 // A rule refuses a request before anything is sent, so only error kinds that
-// state this are allowed. Any other kind would tell the caller that the request
-// may have run.
+// state this are allowed. From any other kind the caller would conclude that
+// the request may have run.
 const REFUSE_KINDS = (Object.keys(ERROR_ANSWERS) as ErrorKind[]).filter(
   kind => ERROR_ANSWERS[kind].ran === 'no',
 );
--- a/packages/core/src/simulation/log_schedule.ts
+++ b/packages/core/src/simulation/log_schedule.ts
@@ -43,7 +43,10 @@
 
   constructor(private readonly guard: MissingGuard) {}
 
-  /** Records an owner's fencing number; false if a newer owner was seen. */
+  /**
+   * Records an owner's fencing number; returns false if a newer owner has
+   * connected before.
+   */
   admitOwner(fencing: number): boolean {
     if (this.guard === 'trainer_fencing') return true;
     if (fencing < this.highestFencing) return false;
@@ -159,7 +162,7 @@
     }
   }
 
-  /** Runs a VM's usual cycle; the bits of `choice` leave out parts of it. */
+  /** Runs a VM's usual cycle; the bits of `choice` omit parts of it. */
   private runUsualCycle(index: number, choice: number): void {
     const vm = this.vms[index]!;
     const isIncluded = (part: number) => (choice >> part) % 2 === 0;
@@ -220,7 +223,10 @@
     }
   }
 
-  /** Delivers one message: each owner's arrive in order, two owners' may interleave. */
+  /**
+   * Delivers one message. The messages of one owner arrive in order; those of
+   * several owners may interleave.
+   */
   private deliver(choice: number): void {
     const owners = [...new Set(this.inFlight.map(m => m.fencing))];
     const fencing = owners[choice % Math.max(1, owners.length)];
--- a/packages/core/src/steps/__tests__/step_machine.spec.ts
+++ b/packages/core/src/steps/__tests__/step_machine.spec.ts
@@ -103,8 +103,8 @@
 // replaced.
 // 1. The old owner commits cursors 1 and 2; the trainer receives only 1.
 // 2. A new owner reads the log; no engine still has the text of either cursor.
-// It happens if the new owner runs a sample again before it knows what the
-// trainer has received.
+// It happens if the new owner runs a sample again before the trainer has
+// reported what it received.
 test('a new owner runs again only what the trainer has not received', t => {
   const committed = [0, 1].map(sample => ({
     group: 0,
--- a/packages/core/src/steps/__tests__/weight_rollout.spec.ts
+++ b/packages/core/src/steps/__tests__/weight_rollout.spec.ts
@@ -63,7 +63,7 @@
 // 2. New versions are published meanwhile.
 // It happens if an ordered version is assumed to run, or if all engines are
 // ordered together.
-test('all engines reach the newest weights, a wave at a time', t => {
+test('all engines reach the newest weights, one wave after another', t => {
   const behaviourArbitrary = fc.constantFrom<OrderBehaviour>(
     'loads',
     'fails',
--- a/packages/core/src/steps/step_ledger.ts
+++ b/packages/core/src/steps/step_ledger.ts
@@ -43,7 +43,10 @@
   readonly closedAtMs: number;
 }
 
-/** Attempts kept for each sample: the first one, its hedge and a retry. */
+/**
+ * Number of latest attempts stored for each sample: the first one, its hedge
+ * and a retry.
+ */
 const RETAINED_ATTEMPTS_PER_SAMPLE = 3;
 
 /** Returns the key of a step across tenants, `tenant/step`. */
@@ -57,7 +60,7 @@
 
 /**
  * Folds the records of one step. The caller checks fencing numbers; this class
- * keeps one winner per sample and assigns cursors in log order.
+ * stores one winner per sample and assigns cursors in log order.
  */
 export class StepLedger {
   readonly opening: StepOpening;
@@ -137,9 +140,9 @@
     for (const sample of samples) {
       const key = buildSampleKey(sample.group, sample.sample);
       // Two attempts of a sample may finish at the same time, or a new owner
-      // may commit a sample without having seen the old owner's commit. The
-      // first commit in log order wins, for every reader alike, so that the
-      // trainer never receives a sample twice.
+      // may commit a sample without having read the old owner's commit. The
+      // first commit in log order wins for every reader, so that the trainer
+      // never receives a sample twice.
       if (this.winners.has(key)) continue;
       if (!this.hasSample(sample.group, sample.sample)) continue;
       const winner = {...sample, cursor: this.nextCursor++};
--- a/packages/core/src/steps/weight_rollout.ts
+++ b/packages/core/src/steps/weight_rollout.ts
@@ -1,6 +1,7 @@
 /**
- * Rolls out a model's newest weights to its engines in waves that leave
- * capacity, no faster than the weight store allows, and retries failed swaps.
+ * Rolls out a model's newest weights to its engines in waves, so that enough
+ * engines keep serving, no faster than the weight store allows, and retries
+ * failed swaps.
  *
  * Only an engine's report shows which version it runs, not the order sent to
  * it. An order can be lost, refused, or fail after it was accepted. In each
@@ -26,7 +27,7 @@
 /** Result of sending an order. */
 export type OrderOutcome =
   | 'begun'
-  /** The engine knows a higher fencing number, so this holder is superseded. */
+  /** The engine received a higher fencing number: this holder is superseded. */
   | 'stale_fencing'
   | 'failed'
   /** No answer: the engine may or may not have accepted the order. */
@@ -39,7 +40,7 @@
   readonly waveShare: number;
   /** Time to fetch and swap weights before the order counts as failed. */
   readonly swapTimeoutMs: number;
-  /** The same for an order without an answer. */
+  /** The same time for an order without an answer. */
   readonly unansweredTimeoutMs: number;
   readonly firstRetryMs: number;
   readonly maxRetryMs: number;
@@ -95,9 +96,9 @@
     newestVersion: number,
     nowMs: number,
   ): readonly LoadOrder[] {
-    // A holder whose lease expired during a pause does not know it. Engines
-    // that check fencing numbers report it; after that it must also send no
-    // orders to engines that do not check them.
+    // A holder cannot detect that its lease expired during a pause. Engines
+    // that check fencing numbers report it; after that the holder must also
+    // send no orders to engines that do not check them.
     if (this.superseded) return [];
     for (const engine of reported) this.applyReport(engine, nowMs);
     let room = this.countOrderRoom(reported);
--- a/packages/core/src/trace/__tests__/day_summary.spec.ts
+++ b/packages/core/src/trace/__tests__/day_summary.spec.ts
@@ -16,12 +16,12 @@
     createLine('a', 0, 'started'),
     createLine('a', 10, 'coordinator now'),
     createLine('b', 100, 'batch accepted', {
-      requestId: 'lot',
+      requestId: 'batch-1',
       model: 'm',
       step: 3,
     }),
-    createLine('a', 120, 'batch accepted', {requestId: 'lot', model: 'm'}),
-    createLine('a', 300, 'item has a result', {batch: 'lot'}),
+    createLine('a', 120, 'batch accepted', {requestId: 'batch-1', model: 'm'}),
+    createLine('a', 300, 'item has a result', {batch: 'batch-1'}),
     createLine('a', 400, 'order to an engine', {
       endpoint: 'e',
       model: 'm',
@@ -33,11 +33,11 @@
     createLine('a', 900, 'topic is read again', {topic: 'x'}),
     createLine('b', 1200, 'request', {outcome: '200'}),
     createLine('b', 2100, 'request refused', {outcome: 'not_found'}),
-    createLine('b', 2200, 'batch end', {requestId: 'lot'}),
+    createLine('b', 2200, 'batch end', {requestId: 'batch-1'}),
   ])!;
   t.deepEqual(day.steps, [
     {
-      batch: 'lot',
+      batch: 'batch-1',
       model: 'm',
       step: '3',
       fromMs: 100,
--- a/packages/core/src/trace/__tests__/trace_path.spec.ts
+++ b/packages/core/src/trace/__tests__/trace_path.spec.ts
@@ -17,12 +17,12 @@
  * the clock of `b` is 700 ms ahead.
  */
 function createItemLog(): readonly TraceLine[] {
-  const run = {requestId: 'item', batch: 'lot', endpoint: 'e1'};
+  const run = {requestId: 'item', batch: 'batch-1', endpoint: 'e1'};
   return [
     createLine('a', 1000, 'configuration in force', {configVersion: 3}),
     createLine('a', 1100, 'weights named', {model: 'm', version: 2}),
-    createLine('a', 2000, 'batch accepted', {requestId: 'lot', model: 'm'}),
-    createLine('a', 9000, 'batch end', {requestId: 'lot'}),
+    createLine('a', 2000, 'batch accepted', {requestId: 'batch-1', model: 'm'}),
+    createLine('a', 9000, 'batch end', {requestId: 'batch-1'}),
     createLine('a', 2300, 'request', {requestId: 'other'}),
     createLine('b', 1702, 'configuration in force', {configVersion: 3}),
     createLine('b', 1799, 'weights named', {model: 'm', version: 2}),
@@ -34,7 +34,7 @@
     createLine('b', 3601, 'run started', {...run, endpoint: 'e2'}),
     createLine('b', 3601, 'item has a result', {
       requestId: 'item',
-      batch: 'lot',
+      batch: 'batch-1',
     }),
   ];
 }
@@ -62,7 +62,7 @@
 // Guards against an impossible order of lines: if the clocks of the VM that
 // accepted a batch and the VM that runs its items differ, sorting the lines by
 // their own times can show an item that runs before its batch was accepted.
-test('clocks are aligned by facts that all VMs learn at the same time', t => {
+test('clocks are aligned by facts that all VMs log at nearly the same time', t => {
   const offsets = alignClocks(createItemLog());
   t.true(Math.abs(offsets.get('a')! - offsets.get('b')! - 700) <= 5);
 });
@@ -145,5 +145,5 @@
 });
 
 test('the path of an id that no line names is empty', t => {
-  t.deepEqual(tracePath(createItemLog(), 'unheard'), []);
+  t.deepEqual(tracePath(createItemLog(), 'unknown'), []);
 });
--- a/packages/core/src/trace/clock_alignment.ts
+++ b/packages/core/src/trace/clock_alignment.ts
@@ -1,7 +1,7 @@
 /**
  * Aligns the log lines of VMs whose clocks differ on a common time line.
  *
- * All VMs learn some facts from the platform's log within a few ms of each other
+ * All VMs read some facts from the platform's log within a few ms of each other
  * and log them: a configuration version in force, named weights, a change to an
  * endpoint. The times at which two VMs log the same fact show the difference
  * between their clocks.
@@ -24,7 +24,7 @@
 /**
  * Estimates the clock offsets of the VMs. Each offset is the median difference
  * between the VM's times and the median times of the shared facts; medians are
- * used because a VM may learn of a single fact late.
+ * used because a VM may read a single fact late.
  */
 export function alignClocks(lines: readonly TraceLine[]): ClockOffsets {
   const facts = new Map<string, Map<string, number>>();
--- a/packages/core/src/trace/day_summary.ts
+++ b/packages/core/src/trace/day_summary.ts
@@ -19,7 +19,7 @@
   readonly results: number;
 }
 
-/** A time in which a VM could not read the log, or was the coordinator. */
+/** A period in which a VM could not read the log, or was the coordinator. */
 export interface VmSpan extends TimeSpan {
   readonly vm: string;
 }
--- a/packages/shared/src/error_kind.ts
+++ b/packages/shared/src/error_kind.ts
@@ -199,7 +199,7 @@
    * Ms after which the caller may retry; set only where the service can estimate it.
    */
   readonly retryAfterMs?: number;
-  /** Overrides a `maybe` of the table where the exact outcome is known. */
+  /** Replaces a `maybe` of the table if it is certain whether the request ran. */
   readonly ran?: Ran;
 }
 
--- a/packages/wire/src/__tests__/engine_stream.spec.ts
+++ b/packages/wire/src/__tests__/engine_stream.spec.ts
@@ -38,7 +38,7 @@
 }
 
 const FAULT_CASES: readonly FaultCase[] = [
-  {name: 'calm', end: FINISHED, runs: 1},
+  {name: 'no fault', end: FINISHED, runs: 1},
   {
     name: 'the answer is lost before its first byte',
     initialFault: {kind: 'lose_answers', next: 1},
@@ -76,7 +76,7 @@
     runs: 1,
   },
   {
-    name: 'the engine takes no more',
+    name: 'the engine accepts no more requests',
     options: {maxWaiting: 0},
     end: fail('rejected'),
     runs: 0,
@@ -135,11 +135,11 @@
     if (c.end.kind === 'finished') t.is(tokens, TOKENS);
   });
 
-// Guards against a sample being given up although its engine works:
+// Guards against abandoning a sample although its engine works:
 // 1. Many streams have ended, and their connections are idle in the pool.
 // 2. A device in between loses the state of all of them; the engine keeps running.
 // 3. Each reattachment would use another idle connection, which is silent as well.
-test('idle connections that went silent do not use up the tries', async t => {
+test('idle connections that went silent do not use up the reattachments', async t => {
   const {engine, agent, origin} = await startEngine(t);
   const timeouts = {progressMs: SHORT_PROGRESS_MS, maxReattaches: 3};
   const create = (id: string, onChunk: () => void = () => {}) =>
--- a/packages/wire/src/__tests__/forward.spec.ts
+++ b/packages/wire/src/__tests__/forward.spec.ts
@@ -34,7 +34,7 @@
 }
 
 const FAULT_CASES: readonly FaultCase[] = [
-  {name: 'calm', end: {kind: 'finished', status: 200}, calls: 1},
+  {name: 'no fault', end: {kind: 'finished', status: 200}, calls: 1},
   {
     name: 'a call that fails',
     fault: {kind: 'fail_calls'},
@@ -67,7 +67,7 @@
     calls: 0,
   },
   {
-    name: 'no process there',
+    name: 'the process of the service has exited',
     isGone: true,
     end: fail('connect_failed', false),
     calls: 0,
@@ -130,7 +130,7 @@
     t.is(service.countCalls(REQUEST_ID), c.calls);
     // `sent: false` permits a retry, so the service must not have run the call.
     t.true(c.end.kind !== 'failed' || c.end.sent || c.calls === 0);
-    if (c.name !== 'calm') return;
+    if (c.name !== 'no fault') return;
     t.is(res.headers.get(HEADERS.rule), 'r');
     t.like(await res.json(), {
       method: 'POST',
