--- a/packages/daemon/src/gateway/__tests__/gateway_fixtures.ts
+++ b/packages/daemon/src/gateway/__tests__/gateway_fixtures.ts
@@ -95,10 +95,10 @@
 /** Creates a crash watch that publishes nothing and whose probes succeed unless `isReachable` returns false. */
 export function createCrashWatch(
   isReachable: (target: ProbeTarget) => boolean = () => true,
-  book = new CrashRegistry(0),
+  registry = new CrashRegistry(0),
 ): CrashWatch {
   return new CrashWatch({
-    book,
+    registry: registry,
     publisher: {publish: () => undefined},
     metrics: new GatewayMetrics(),
     logger: silentLogger,
--- a/packages/daemon/src/gateway/batches/__tests__/failover_watch.spec.ts
+++ b/packages/daemon/src/gateway/batches/__tests__/failover_watch.spec.ts
@@ -10,7 +10,7 @@
   const watch = new FailoverWatch({
     fetchReport: () => {
       queries += 1;
-      const report = {models: [], isBusy: false, orders: 0, bornMs: 0};
+      const report = {models: [], isBusy: false, orders: 0, startedAtMs: 0};
       return Promise.resolve({...report, runs: state.reported});
     },
     countOwnRuns: () => own,
--- a/packages/daemon/src/gateway/batches/batch_api.ts
+++ b/packages/daemon/src/gateway/batches/batch_api.ts
@@ -246,9 +246,9 @@
     const abort = new AbortController();
     res.once('close', () => abort.abort());
     while (entry.results.length <= after && !isComplete(entry)) {
-      const leftMs = Math.floor(untilMs - performance.now());
-      if (leftMs <= 0 || res.destroyed) break;
-      const outcome = await replica.waitForRecords(leftMs, abort.signal);
+      const remainingMs = Math.floor(untilMs - performance.now());
+      if (remainingMs <= 0 || res.destroyed) break;
+      const outcome = await replica.waitForRecords(remainingMs, abort.signal);
       if (outcome.kind === 'failed') break;
     }
     const results = await replica.readResults(entry, after, MAX_PAGE_BYTES);
--- a/packages/daemon/src/gateway/batches/batch_runner.ts
+++ b/packages/daemon/src/gateway/batches/batch_runner.ts
@@ -67,7 +67,7 @@
   readonly newestVersions: ReadonlyMap<string, number>;
   readonly clock: VmClock;
   readonly metrics: GatewayMetrics;
-  readonly vmName: string;
+  readonly incarnationId: string;
   /** Unique for each time that a VM becomes the coordinator. */
   readonly termId: string;
   readonly view: EndpointView;
@@ -135,7 +135,7 @@
       links,
       protocol,
       newestVersions,
-      vmName,
+      incarnationId,
       termId,
       logger,
     } = deps;
@@ -176,7 +176,7 @@
       scheduler: this.scheduler,
       newestVersions,
       metrics: deps.metrics,
-      vmName,
+      incarnationId: incarnationId,
       logger,
     });
   }
@@ -404,9 +404,9 @@
     const getFingerprint = () => this.fingerprint(run.job);
     if (!crashes.isSuspected(getFingerprint)) return this.generate(run, entry);
     this.liveRuns.set(run.id, {run});
-    void crashes.maySendTo(entry, getFingerprint).then(isFit => {
+    void crashes.maySendTo(entry, getFingerprint).then(maySend => {
       if (!this.liveRuns.has(run.id)) return;
-      if (isFit) this.generate(run, entry);
+      if (maySend) this.generate(run, entry);
       else
         this.endRun(run, 'unreachable', 'the engine did not answer the probe');
     });
--- a/packages/daemon/src/gateway/batches/generation.ts
+++ b/packages/daemon/src/gateway/batches/generation.ts
@@ -81,22 +81,25 @@
   }
 
   private receive(res: http.IncomingMessage): void {
-    const facts = this.protocol.readAnswer(res.headers);
+    const metadata = this.protocol.readAnswer(res.headers);
     const status = res.statusCode ?? 0;
-    if (facts.attemptId !== undefined && facts.attemptId !== this.item.id) {
+    if (
+      metadata.attemptId !== undefined &&
+      metadata.attemptId !== this.item.id
+    ) {
       return this.reject('broken', 'the answer is to another request');
     }
     if (status !== 200) {
-      this.drain(res, classifyStatus(status, facts.isNotExecuted), status);
+      this.drain(res, classifyStatus(status, metadata.isNotExecuted), status);
       return;
     }
     if (
-      facts.stamp === undefined ||
+      metadata.stamp === undefined ||
       res.headers['content-encoding'] !== undefined
     ) {
       return this.reject('broken', 'the answer does not come from the engine');
     }
-    this.version = facts.weightVersion;
+    this.version = metadata.weightVersion;
     res.setEncoding('utf8');
     res.on('data', (text: string) => this.parser.feed(text));
     res.on('error', err => this.onDisconnect(err.message));
--- a/packages/daemon/src/gateway/batches/payload_log.ts
+++ b/packages/daemon/src/gateway/batches/payload_log.ts
@@ -35,18 +35,21 @@
     partition: number,
     payloads: readonly Uint8Array[],
   ): Promise<StoreOutcome> {
-    const splitPayload = payloads.map(payload => this.cut(payload));
+    const splitPayloads = payloads.map(payload => this.split(payload));
     const offsets: number[] = [];
     const {maxAppendBytes} = this.store;
-    for (const call of groupIntoAppends(splitPayload.flat(), maxAppendBytes)) {
-      const outcome = await this.store.append(PAYLOAD_TOPIC, partition, call);
+    for (const group of groupIntoAppends(
+      splitPayloads.flat(),
+      maxAppendBytes,
+    )) {
+      const outcome = await this.store.append(PAYLOAD_TOPIC, partition, group);
       if (outcome.kind !== 'appended') {
         return {kind: 'failed', error: toError(outcome)};
       }
-      for (const i of call.keys()) offsets.push(outcome.offset + i);
+      for (const i of group.keys()) offsets.push(outcome.offset + i);
     }
     let next = 0;
-    const refs = splitPayload.map(parts =>
+    const refs = splitPayloads.map(parts =>
       parts.map(({length}) => ({offset: offsets[next++], bytes: length})),
     );
     return {kind: 'stored', refs};
@@ -58,8 +61,8 @@
     refs: readonly PayloadRef[],
   ): Promise<Result<readonly Uint8Array[]>> {
     const found: RecordsByOffset = new Map();
-    for (const run of groupContiguous(refs.flat())) {
-      const error = await this.readContiguous(partition, run, found);
+    for (const range of groupContiguous(refs.flat())) {
+      const error = await this.readContiguous(partition, range, found);
       if (error) return fail(error);
     }
     return succeed(refs.map(ref => joinParts(ref, found)));
@@ -68,13 +71,13 @@
   /** Reads the records of a contiguous range into `found`; returns the error if a read failed. */
   private async readContiguous(
     partition: number,
-    run: readonly PayloadPart[],
+    range: readonly PayloadPart[],
     found: RecordsByOffset,
   ): Promise<RadishyokeError | undefined> {
-    const end = run[0].offset + run.length;
-    let next = run[0].offset;
+    const end = range[0].offset + range.length;
+    let next = range[0].offset;
     while (next < end) {
-      const left = run.slice(next - run[0].offset);
+      const left = range.slice(next - range[0].offset);
       const outcome = await this.store.read(PAYLOAD_TOPIC, partition, next, {
         waitMs: 0,
         maxBytes: computeReadBytes(left),
@@ -90,7 +93,7 @@
   }
 
   /** Splits a payload that may be larger than one record of the log. */
-  private cut(payload: Uint8Array): readonly Uint8Array[] {
+  private split(payload: Uint8Array): readonly Uint8Array[] {
     const {maxRecordBytes} = this.store;
     const parts: Uint8Array[] = [];
     for (let at = 0; at < payload.length; at += maxRecordBytes) {
@@ -112,31 +115,31 @@
   records: readonly Uint8Array[],
   maxBytes: number,
 ): ReadonlyArray<readonly Uint8Array[]> {
-  const calls: Uint8Array[][] = [];
+  const groups: Uint8Array[][] = [];
   let bytes = Infinity;
   for (const record of records) {
     bytes += record.length;
     if (bytes > maxBytes) {
-      calls.push([]);
+      groups.push([]);
       bytes = record.length;
     }
-    calls.at(-1)!.push(record);
+    groups.at(-1)!.push(record);
   }
-  return calls;
+  return groups;
 }
 
 /** Sorts parts by offset and groups those with consecutive offsets. */
 function groupContiguous(
   parts: readonly PayloadPart[],
 ): ReadonlyArray<readonly PayloadPart[]> {
-  const runs: PayloadPart[][] = [];
+  const ranges: PayloadPart[][] = [];
   let end: number | undefined;
   for (const part of [...parts].sort((a, b) => a.offset - b.offset)) {
-    if (part.offset !== end) runs.push([]);
-    runs.at(-1)!.push(part);
+    if (part.offset !== end) ranges.push([]);
+    ranges.at(-1)!.push(part);
     end = part.offset + 1;
   }
-  return runs;
+  return ranges;
 }
 
 function computeReadBytes(parts: readonly PayloadPart[]): number {
--- a/packages/daemon/src/gateway/batches/record_writer.ts
+++ b/packages/daemon/src/gateway/batches/record_writer.ts
@@ -50,13 +50,13 @@
   private isBuffering = false;
   private writes = 0;
   private isStopped = false;
-  private readonly marks: TrimTracker;
+  private readonly trimTracker: TrimTracker;
 
   constructor(
     protected readonly store: LogStore,
     private readonly options: WriterOptions,
   ) {
-    this.marks = new TrimTracker(options.retentionMs);
+    this.trimTracker = new TrimTracker(options.retentionMs);
   }
 
   protected get partition(): number {
@@ -81,7 +81,7 @@
 
   /** Records that the topic has a record at `offset`, and trims expired records before it. */
   protected recordAppended(offset: number): void {
-    const before = this.marks.recordAppend(offset, performance.now());
+    const before = this.trimTracker.recordAppend(offset, performance.now());
     if (before === undefined) return;
     void this.store.trim(this.options.topic, this.partition, before);
   }
--- a/packages/daemon/src/gateway/batches/reward_task.ts
+++ b/packages/daemon/src/gateway/batches/reward_task.ts
@@ -21,7 +21,7 @@
 import type {CrashWatch} from '../crashes/crash_watch.js';
 import {toWatchedEnd} from '../crashes/watched_request.js';
 import {
-  ENDPOINT_GONE,
+  ENDPOINT_UNREACHABLE,
   EndpointExchange,
   type ExchangeOutcome,
   isSuccess,
@@ -148,8 +148,8 @@
   ): Promise<ExchangeOutcome> {
     const {crashes} = this.deps;
     const getFingerprint = () => fingerprintReward(job, reward);
-    const isFit = await crashes.maySendTo(entry, getFingerprint);
-    if (!isFit || exchange.isAborted) return ENDPOINT_GONE;
+    const maySend = await crashes.maySendTo(entry, getFingerprint);
+    if (!maySend || exchange.isAborted) return ENDPOINT_UNREACHABLE;
     const watched = crashes.recordStart(entry, getFingerprint);
     const timeoutMs = this.computeTimeoutMs(job, reward);
     const timer = setTimeout(() => exchange.giveUp(), timeoutMs);
@@ -172,8 +172,8 @@
 
   private computeTimeoutMs(job: Job, reward: RewardRequest): number {
     const routeMs = this.findRoute(reward)?.timeoutMs || DEFAULT_TIMEOUT_MS;
-    const leftMs = (job.batch.terms?.giveUpAtMs ?? Infinity) - now();
-    return Math.max(Math.min(routeMs, leftMs), ANSWER_TRAVEL_MS);
+    const remainingMs = (job.batch.terms?.giveUpAtMs ?? Infinity) - now();
+    return Math.max(Math.min(routeMs, remainingMs), ANSWER_TRAVEL_MS);
   }
 
   private finish(call: RewardCall, end: RewardEnd, detail: string): void {
--- a/packages/daemon/src/gateway/crashes/__tests__/crash_replicator.spec.ts
+++ b/packages/daemon/src/gateway/crashes/__tests__/crash_replicator.spec.ts
@@ -7,24 +7,24 @@
 import test, {type ExecutionContext} from 'ava';
 import {silentLogger} from '../../../logger.js';
 import {createKeyed, MemoryStore} from '../../__tests__/gateway_fixtures.js';
-import {decodeMarks, encodeMarks} from '../crash_codec.js';
+import {decodeCrashRecords, encodeCrashRecords} from '../crash_codec.js';
 import {CrashReplicator} from '../crash_replicator.js';
 
-const MARK: CrashRecord = {endpointId: 'e1', atMs: Date.now(), weight: 2};
+const CRASH: CrashRecord = {endpointId: 'e1', atMs: Date.now(), weight: 2};
 
 function createReplicator(t: ExecutionContext, store = new MemoryStore()) {
-  const book = new CrashRegistry(0);
+  const registry = new CrashRegistry(0);
   const updated: string[] = [];
   const onUpdate = (fingerprint: string) => updated.push(fingerprint);
   const replicator = new CrashReplicator(
     store,
     'crashes',
-    book,
+    registry,
     onUpdate,
     silentLogger,
   );
   t.teardown(() => replicator.stop());
-  return {book, replicator, store, updated};
+  return {book: registry, replicator, store, updated};
 }
 
 async function waitUntil(isDone: () => boolean): Promise<void> {
@@ -33,12 +33,12 @@
 
 test('marks are written to the log and withdrawn when the request is cleared', async t => {
   const {book, replicator, store} = createReplicator(t);
-  book.merge('f', [MARK], Date.now());
+  book.merge('f', [CRASH], Date.now());
   replicator.publish('f');
   await waitUntil(() => store.keyedWrites.length === 1);
   const [{key, value}] = store.keyedWrites;
   t.is(key, 'f');
-  t.deepEqual(decodeMarks(value!), {ok: true, value: [MARK]});
+  t.deepEqual(decodeCrashRecords(value!), {ok: true, value: [CRASH]});
   book.clear('f');
   replicator.publish('f');
   await waitUntil(() => store.keyedWrites.length === 2);
@@ -49,7 +49,7 @@
 test('a failed append is retried', async t => {
   const {book, replicator, store} = createReplicator(t);
   store.appendPlans.push('refused', 'unknown');
-  book.merge('f', [MARK], Date.now());
+  book.merge('f', [CRASH], Date.now());
   replicator.publish('f');
   await waitUntil(() => store.keyedWrites.length === 1);
   t.is(store.keyedWrites[0].key, 'f');
@@ -58,7 +58,7 @@
 // Guards against losing all marks when all VMs restart.
 test('a VM that starts reads the marks in the log', async t => {
   const store = new MemoryStore();
-  const value = Buffer.from(encodeMarks([MARK]));
+  const value = Buffer.from(encodeCrashRecords([CRASH]));
   store.newestReads.push({
     kind: 'page',
     records: [{key: 'f', value, offset: 0}, createKeyed('bad', 1, 'not marks')],
@@ -73,7 +73,7 @@
   void replicator.run();
   await waitUntil(() => book.has('g'));
   t.false(book.has('f'), 'withdrawn by another VM');
-  t.deepEqual(book.getCrashes('g'), [MARK]);
+  t.deepEqual(book.getCrashes('g'), [CRASH]);
   t.false(book.has('bad'));
   t.deepEqual(updated, ['f', 'g']);
 });
@@ -82,9 +82,9 @@
 test('publishing a request beyond the limit withdraws the oldest', async t => {
   const {book, replicator, store} = createReplicator(t);
   for (let i = 0; i < MAX_REQUESTS; i++) {
-    book.merge(`f${i}`, [{...MARK, atMs: Date.now()}], Date.now());
+    book.merge(`f${i}`, [{...CRASH, atMs: Date.now()}], Date.now());
   }
-  book.merge('new', [{...MARK, atMs: Date.now()}], Date.now());
+  book.merge('new', [{...CRASH, atMs: Date.now()}], Date.now());
   replicator.publish('new');
   await waitUntil(() => store.keyedWrites.length === 2);
   t.deepEqual(store.keyedWrites[0], {key: 'f0'});
--- a/packages/daemon/src/gateway/crashes/__tests__/crash_watch.spec.ts
+++ b/packages/daemon/src/gateway/crashes/__tests__/crash_watch.spec.ts
@@ -7,7 +7,7 @@
 
 /** Creates a watch whose endpoints are reachable unless listed in `gone`. */
 function createWatch() {
-  const book = new CrashRegistry(0);
+  const registry = new CrashRegistry(0);
   const published: string[] = [];
   const gone = new Set<string>();
   const entries = new Map(
@@ -17,7 +17,7 @@
     ]),
   );
   const watch = new CrashWatch({
-    book,
+    registry: registry,
     publisher: {publish: fingerprint => published.push(fingerprint)},
     metrics: new GatewayMetrics(),
     logger: silentLogger,
@@ -31,7 +31,7 @@
     begin(id, fingerprint).end('broken');
     await watch.waitForCheck(id);
   };
-  return {watch, book, published, gone, begin, crash};
+  return {watch, book: registry, published, gone, begin, crash};
 }
 
 test('a request is quarantined after its third crash', async t => {
@@ -135,16 +135,16 @@
 // Guards against blaming a request for endpoints that were already down.
 test('a suspected request is only sent to reachable endpoints', async t => {
   const {watch, gone, crash} = createWatch();
-  const fit = (id: string) =>
+  const maySend = (id: string) =>
     watch.maySendTo({...createEntry(Number(id[1]) + 1), id}, () => 'f');
   gone.add('e1');
   t.true(
-    await fit('e1'),
+    await maySend('e1'),
     'a request that is not suspected is sent without a probe',
   );
   await crash('e0', 'f');
-  t.false(await fit('e1'));
-  t.true(await fit('e2'));
+  t.false(await maySend('e1'));
+  t.true(await maySend('e2'));
 });
 
 // Guards against a write to the log for every request in flight on a crashed endpoint.
--- a/packages/daemon/src/gateway/crashes/crash_codec.ts
+++ b/packages/daemon/src/gateway/crashes/crash_codec.ts
@@ -6,7 +6,7 @@
 import {Packr} from 'msgpackr';
 import * as v from 'valibot';
 
-const marksSchema = v.array(
+const crashRecordsSchema = v.array(
   v.object({
     endpointId: v.string(),
     atMs: v.number(),
@@ -17,13 +17,17 @@
 /** Packs plain maps, so that other versions of the program can read the records. */
 const packr = new Packr({useRecords: false});
 
-export function encodeMarks(marks: readonly CrashRecord[]): Uint8Array {
-  return packr.pack(marks);
+export function encodeCrashRecords(
+  records: readonly CrashRecord[],
+): Uint8Array {
+  return packr.pack(records);
 }
 
-export function decodeMarks(bytes: Uint8Array): Result<readonly CrashRecord[]> {
+export function decodeCrashRecords(
+  bytes: Uint8Array,
+): Result<readonly CrashRecord[]> {
   try {
-    return succeed(v.parse(marksSchema, packr.unpack(bytes)));
+    return succeed(v.parse(crashRecordsSchema, packr.unpack(bytes)));
   } catch (err) {
     return fail(createError('bad_request', String(err)));
   }
--- a/packages/daemon/src/gateway/crashes/crash_replicator.ts
+++ b/packages/daemon/src/gateway/crashes/crash_replicator.ts
@@ -13,7 +13,7 @@
   LogStore,
   NewKeyedRecord,
 } from '../store/log_store.js';
-import {decodeMarks, encodeMarks} from './crash_codec.js';
+import {decodeCrashRecords, encodeCrashRecords} from './crash_codec.js';
 
 /** Longest time that a read waits at the log, ms: updates are rare, and a connection that went silent hides them for no longer than this. */
 const READ_WAIT_MS = 3000;
@@ -34,7 +34,7 @@
   constructor(
     private readonly store: LogStore,
     private readonly topic: string,
-    private readonly book: CrashRegistry,
+    private readonly registry: CrashRegistry,
     /** Called for each request whose marks were read from the log. */
     private readonly onUpdate: (fingerprint: string) => void,
     private readonly logger: EventLogger,
@@ -45,7 +45,7 @@
       onCaughtUp: () => undefined,
       onContact: () => undefined,
       onRead: () => undefined,
-      onLost: () => undefined,
+      onReadFailed: () => undefined,
     };
     this.feed = new KeyedFeed(store, cfg, events, logger);
   }
@@ -62,8 +62,8 @@
 
   /** Publishes the current marks of the request to the other VMs, and withdraws those that the book drops. */
   publish(fingerprint: string): void {
-    for (const forgotten of this.book.prune(Date.now())) {
-      this.pending.add(forgotten);
+    for (const pruned of this.registry.prune(Date.now())) {
+      this.pending.add(pruned);
     }
     this.pending.add(fingerprint);
     if (!this.isWriting) void this.writePending();
@@ -71,16 +71,16 @@
 
   private applyRecord({key, value, offset}: KeyedRecord): void {
     if (value === undefined) {
-      this.book.clear(key);
+      this.registry.clear(key);
       return;
     }
-    const marks = decodeMarks(value);
-    if (marks.ok) {
-      this.book.merge(key, marks.value, Date.now());
+    const crashes = decodeCrashRecords(value);
+    if (crashes.ok) {
+      this.registry.merge(key, crashes.value, Date.now());
       this.onUpdate(key);
       return;
     }
-    const {detail} = marks.error;
+    const {detail} = crashes.error;
     this.logger.log('warn', 'record skipped', {key, offset, detail});
   }
 
@@ -107,7 +107,9 @@
 
   /** Returns the request's record; one without a value withdraws it. */
   private createRecord(key: string): NewKeyedRecord {
-    const marks = this.book.getCrashes(key);
-    return marks.length === 0 ? {key} : {key, value: encodeMarks(marks)};
+    const crashes = this.registry.getCrashes(key);
+    return crashes.length === 0
+      ? {key}
+      : {key, value: encodeCrashRecords(crashes)};
   }
 }
--- a/packages/daemon/src/gateway/crashes/crash_watch.ts
+++ b/packages/daemon/src/gateway/crashes/crash_watch.ts
@@ -28,7 +28,7 @@
 }
 
 export interface CrashWatchDeps {
-  readonly book: CrashRegistry;
+  readonly registry: CrashRegistry;
   readonly publisher: CrashPublisher;
   readonly metrics: GatewayMetrics;
   readonly logger: EventLogger;
@@ -39,7 +39,7 @@
 /** A request's first crash is published after this delay, ms, unless the request succeeds before: most do at their next endpoint. */
 const PUBLISH_DELAY_MS = 250;
 /** The marks of a request with at least this many crashes are published at once. */
-const IMMEDIATE_PUBLISH_MARKS = 2;
+const IMMEDIATE_PUBLISH_CRASHES = 2;
 const MAX_LOGGED_FINGERPRINTS = 20;
 
 export class CrashWatch {
@@ -83,7 +83,7 @@
   }
 
   countCrashes(fingerprint: string): number {
-    return this.deps.book.getCrashes(fingerprint).length;
+    return this.deps.registry.getCrashes(fingerprint).length;
   }
 
   /**
@@ -99,7 +99,8 @@
 
   /** Records that a request is sent to an endpoint. */
   recordStart(entry: EndpointEntry, fingerprint: () => string): WatchedRequest {
-    if (this.hasSuspects) this.deps.book.recordStart(fingerprint(), Date.now());
+    if (this.hasSuspects)
+      this.deps.registry.recordStart(fingerprint(), Date.now());
     const watched = new WatchedRequest(entry, fingerprint, (ended, how) =>
       this.onEnd(ended, how),
     );
@@ -131,11 +132,11 @@
 
   /** Whether any request is suspected; if not, fingerprints need not be computed. */
   private get hasSuspects(): boolean {
-    return this.deps.book.size > 0;
+    return this.deps.registry.size > 0;
   }
 
   private getStatus(fingerprint: string): QuarantineStatus {
-    return this.deps.book.getStatus(fingerprint, Date.now());
+    return this.deps.registry.getStatus(fingerprint, Date.now());
   }
 
   private wasAnsweredRecently(fingerprint: string): boolean {
@@ -163,7 +164,7 @@
   /** For a probe of a quarantined request a broken connection counts as a crash at once, since a crash may be confirmed only seconds later. */
   private onBrokenConnection(watched: InFlightRequest): void {
     const fingerprint = watched.fingerprint();
-    const isProbe = this.deps.book.runsAsProbe(fingerprint);
+    const isProbe = this.deps.registry.runsAsProbe(fingerprint);
     if (isProbe)
       this.recordCrash(
         watched.entry,
@@ -181,8 +182,8 @@
   }
 
   private withdrawSuspicion(fingerprint: string): void {
-    const {book, publisher, logger} = this.deps;
-    if (!book.clear(fingerprint)) return;
+    const {registry, publisher, logger} = this.deps;
+    if (!registry.clear(fingerprint)) return;
     publisher.publish(fingerprint);
     logger.log('info', 'request cleared', {fingerprint});
   }
@@ -192,12 +193,12 @@
     interrupted: InterruptedRequests,
     atMs: number,
   ): void {
-    const {book, metrics, logger} = this.deps;
+    const {registry, metrics, logger} = this.deps;
     metrics.count('endpoint_crashes');
     for (const [fingerprint, watched] of interrupted) {
       if (this.wasAnsweredRecently(fingerprint)) continue;
       const weight = isEarlyEnd(watched) ? EARLY_WEIGHT : LATE_WEIGHT;
-      book.recordCrash(fingerprint, {endpointId: id, atMs, weight});
+      registry.recordCrash(fingerprint, {endpointId: id, atMs, weight});
       this.schedulePublish(fingerprint);
       this.logQuarantine(fingerprint);
     }
@@ -220,13 +221,13 @@
   }
 
   private schedulePublish(fingerprint: string): void {
-    const {book, publisher} = this.deps;
-    if (book.getCrashes(fingerprint).length >= IMMEDIATE_PUBLISH_MARKS) {
+    const {registry, publisher} = this.deps;
+    if (registry.getCrashes(fingerprint).length >= IMMEDIATE_PUBLISH_CRASHES) {
       publisher.publish(fingerprint);
       return;
     }
     setTimeout(() => {
-      if (book.has(fingerprint)) publisher.publish(fingerprint);
+      if (registry.has(fingerprint)) publisher.publish(fingerprint);
     }, PUBLISH_DELAY_MS).unref();
   }
 }
--- a/packages/daemon/src/gateway/endpoints/__tests__/http_call.spec.ts
+++ b/packages/daemon/src/gateway/endpoints/__tests__/http_call.spec.ts
@@ -8,7 +8,7 @@
   t: ExecutionContext,
   parts: readonly string[],
   gapMs: number,
-  isCut = false,
+  neverEnds = false,
 ): Promise<CallRequest> {
   const server = http.createServer((_, res) => {
     res.writeHead(200);
@@ -16,7 +16,7 @@
     const timer = setInterval(() => {
       const part = waiting.shift();
       if (part !== undefined) res.write(part);
-      else if (!isCut) res.end();
+      else if (!neverEnds) res.end();
     }, gapMs);
     res.once('close', () => clearInterval(timer));
   });
--- a/packages/daemon/src/gateway/endpoints/endpoint_exchange.ts
+++ b/packages/daemon/src/gateway/endpoints/endpoint_exchange.ts
@@ -37,7 +37,7 @@
   | {readonly kind: 'unknown'; readonly detail: string};
 
 /** Outcome if the endpoint was found unreachable before anything was sent. */
-export const ENDPOINT_GONE = {
+export const ENDPOINT_UNREACHABLE = {
   kind: 'unsent',
   detail: 'the endpoint is gone',
 } as const;
@@ -62,7 +62,7 @@
   ) {}
 
   /** Sends `sent` and resolves with its outcome; never rejects. */
-  run(sent: ExchangeRequest): Promise<ExchangeOutcome> {
+  run(request: ExchangeRequest): Promise<ExchangeOutcome> {
     return new Promise(resolve => {
       const settle = (outcome: ExchangeOutcome) => {
         if (this.isDone) return;
@@ -74,10 +74,10 @@
           kind: this.connectedMs === undefined ? 'unsent' : 'unknown',
           detail,
         });
-      this.req = this.send(sent);
+      this.req = this.send(request);
       this.req.on('error', err => fail(err.message));
       this.req.on('close', () => fail('the connection closed'));
-      this.req.on('response', res => this.receive(res, sent, settle, fail));
+      this.req.on('response', res => this.receive(res, request, settle, fail));
     });
   }
 
@@ -108,12 +108,12 @@
     return this.connectedMs;
   }
 
-  private send(sent: ExchangeRequest): http.ClientRequest {
+  private send(request: ExchangeRequest): http.ClientRequest {
     const {host, port} = this.entry;
-    const {method, path} = sent;
-    const headers = {...sent.headers};
-    if (sent.body.length > 0 || method !== 'GET') {
-      headers['Content-Length'] = sent.body.length;
+    const {method, path} = request;
+    const headers = {...request.headers};
+    if (request.body.length > 0 || method !== 'GET') {
+      headers['Content-Length'] = request.body.length;
     }
     const req = http.request({
       agent: this.agent,
@@ -129,18 +129,18 @@
       onTimeout: () => req.destroy(),
     };
     watchConnection(req, events, CONNECT_TIMEOUT_MS);
-    req.end(sent.body);
+    req.end(request.body);
     return req;
   }
 
   private receive(
     res: http.IncomingMessage,
-    sent: ExchangeRequest,
+    request: ExchangeRequest,
     settle: (outcome: ExchangeOutcome) => void,
     fail: (detail: string) => void,
   ): void {
     const metadata = this.protocol.readAnswer(res.headers);
-    const problem = findAnswerProblem(res, metadata, sent.attemptId);
+    const problem = findAnswerProblem(res, metadata, request.attemptId);
     if (problem) {
       // Later data on this connection can not be trusted either.
       fail(problem);
--- a/packages/daemon/src/gateway/endpoints/endpoint_protocol.ts
+++ b/packages/daemon/src/gateway/endpoints/endpoint_protocol.ts
@@ -60,7 +60,7 @@
   /** Number of requests running or waiting, a few hundred ms ago. */
   readonly runs: number;
   /** Incarnation, as in the endpoint's entry. */
-  readonly bornMs: number;
+  readonly startedAtMs: number;
 }
 
 /** What happens to running generations when weights are loaded. */
--- a/packages/daemon/src/gateway/endpoints/endpoint_stream.ts
+++ b/packages/daemon/src/gateway/endpoints/endpoint_stream.ts
@@ -59,19 +59,19 @@
   ) {}
 
   /** Sends `sent` and resolves with the outcome of the attempt; never rejects. */
-  run(sent: ExchangeRequest): Promise<StreamOutcome> {
+  run(request: ExchangeRequest): Promise<StreamOutcome> {
     const outcome = new Promise<StreamOutcome>(resolve => {
       this.resolve = resolve;
     });
     const {host, port} = this.entry;
-    const {method, path, body} = sent;
+    const {method, path, body} = request;
     const req = http.request({
       agent: this.agent,
       host,
       port,
       method,
       path,
-      headers: {...sent.headers, 'Content-Length': body.length},
+      headers: {...request.headers, 'Content-Length': body.length},
       setHost: false,
     });
     this.req = req;
@@ -82,7 +82,7 @@
     watchConnection(req, events, CONNECT_TIMEOUT_MS);
     req.on('error', err => this.fail(err.message));
     req.on('close', () => this.fail('the connection closed'));
-    req.on('response', res => this.receive(res, sent.attemptId));
+    req.on('response', res => this.receive(res, request.attemptId));
     req.end(body);
     return outcome;
   }
--- a/packages/daemon/src/gateway/engines/__tests__/weight_task.spec.ts
+++ b/packages/daemon/src/gateway/engines/__tests__/weight_task.spec.ts
@@ -72,9 +72,9 @@
 test('other engines are not examined while the maximum number of engines load', t => {
   const {tick, queried, countSnapshots} = createWeights(1000);
   tick();
-  const began = queried.length;
+  const started = queried.length;
   const snapshots = countSnapshots();
   for (let i = 0; i < 5; i++) tick();
-  t.is(queried.length, began);
+  t.is(queried.length, started);
   t.is(countSnapshots(), snapshots);
 });
--- a/packages/daemon/src/gateway/engines/engine_reports.ts
+++ b/packages/daemon/src/gateway/engines/engine_reports.ts
@@ -43,7 +43,7 @@
       return undefined;
     }
     // The engine may have restarted at the same address.
-    if (report.value.bornMs !== entry.startedAtMs) return undefined;
+    if (report.value.startedAtMs !== entry.startedAtMs) return undefined;
     this.fleet.recordReport(entry, report.value);
     return report.value;
   }
--- a/packages/daemon/src/gateway/engines/lease_task.ts
+++ b/packages/daemon/src/gateway/engines/lease_task.ts
@@ -45,7 +45,7 @@
 /** Added to the time between the orders of two holders, ms, since the clocks of two VMs run at slightly different rates. */
 const ORDER_SLACK_MS = 50;
 /** Records of the lease that are kept as history for the analysis of faults. */
-const KEPT_RECORDS = 500;
+const RETAINED_RECORDS = 500;
 /** Renewals between two trims of the partition. */
 const RENEWALS_PER_TRIM = 200;
 
@@ -261,7 +261,7 @@
   }
 
   private trim(offset: number): void {
-    const before = offset - KEPT_RECORDS;
+    const before = offset - RETAINED_RECORDS;
     if (before > 0) void this.store.trim(LEASE_TOPIC, PARTITION, before);
   }
 
--- a/packages/daemon/src/gateway/engines/weight_task.ts
+++ b/packages/daemon/src/gateway/engines/weight_task.ts
@@ -46,7 +46,7 @@
   /** Newest weight version that a trainer has published, by model. */
   readonly newestVersions: ReadonlyMap<string, number>;
   readonly metrics: GatewayMetrics;
-  readonly vmName: string;
+  readonly incarnationId: string;
   readonly logger: EventLogger;
 }
 
@@ -100,7 +100,7 @@
   private readonly activeLoads = new Map<string, LoadTarget>();
   private readonly pausedUntilMs = new Map<string, number>();
   private isStopped = false;
-  private readonly pace = new LoadLimiter();
+  private readonly loadLimiter = new LoadLimiter();
   /** Number of engines that may load at the same time, by service. */
   private readonly limits = new Map<string, number>();
 
@@ -124,10 +124,10 @@
   }
 
   private limitLoads(service: string, engines: number): number {
-    const limit = this.pace.computeLimit(engines);
+    const limit = this.loadLimiter.computeLimit(engines);
     if (limit !== this.limits.get(service)) {
       this.limits.set(service, limit);
-      const expectedMs = Math.round(this.pace.expectedMs);
+      const expectedMs = Math.round(this.loadLimiter.expectedMs);
       const fields = {service, engines, limit, expectedMs};
       this.deps.logger.log('info', 'loads at once', fields);
     }
@@ -320,7 +320,7 @@
     const {fleet} = this.deps;
     const {entry, model, version} = target;
     const startedMs = performance.now();
-    await sleep(this.pace.expectedMs);
+    await sleep(this.loadLimiter.expectedMs);
     if (this.isOutOfDate(entry)) return 'over';
     fleet.assumeLoaded(entry, model, version);
     let pollStartedMs = 0;
@@ -358,7 +358,7 @@
     const endedMs = nowMs - REPORT_DELAY_MS;
     const limit = this.limits.get(entry.service) ?? 0;
     const isFull = this.activeLoads.size >= limit;
-    this.pace.recordLoad({startedMs, endedMs}, limit, isFull);
+    this.loadLimiter.recordLoad({startedMs, endedMs}, limit, isFull);
   }
 
   private isOutOfDate(entry: EndpointEntry): boolean {
@@ -370,7 +370,7 @@
 
   private async order(target: LoadTarget): Promise<OrderAnswer | 'none'> {
     const {entry, model, version, mode} = target;
-    const {protocol, links, lease, fleet, vmName, logger} = this.deps;
+    const {protocol, links, lease, fleet, incarnationId, logger} = this.deps;
     const {fencingToken} = lease.lease;
     const expectedOrders = fleet.getOrders(entry);
     const call = protocol.orderCall({
@@ -378,7 +378,7 @@
       model,
       version,
       mode,
-      owner: vmName,
+      owner: incarnationId,
       fencingToken,
       expectedOrders,
     });
--- a/packages/daemon/src/gateway/gateway.ts
+++ b/packages/daemon/src/gateway/gateway.ts
@@ -93,7 +93,7 @@
   private readonly clock = new VmClock();
   private readonly store: LogStore;
   private readonly roster = new EndpointRoster(GONE_GRACE_MS);
-  private readonly rosterLog: RosterChangeLogger;
+  private readonly rosterChangeLogger: RosterChangeLogger;
   private readonly links = new EndpointLinks();
   private readonly view = new EndpointView();
   private readonly newestVersions = new Map<string, number>();
@@ -105,13 +105,13 @@
   private readonly metricsServer: http.Server;
   private readonly feeds: readonly KeyedFeed[];
   private readonly meter: UsageMeter | undefined;
-  private readonly crashNews: CrashReplicator;
+  private readonly crashReplicator: CrashReplicator;
   private readonly crashes: CrashWatch;
   private runner: BatchRunner | undefined;
   private usageTask: UsageTask | undefined;
   private contactMs = -Infinity;
   private nextTerm = 1;
-  private isRosterKnown = false;
+  private wasRosterRead = false;
   private isServing = false;
   private isStopping = false;
   private starting: Promise<void> | undefined;
@@ -125,7 +125,7 @@
     const {directory, callers, endpoints, logger} = deps;
     const store = new MeteredStore(deps.store, this.metrics);
     this.store = store;
-    this.rosterLog = new RosterChangeLogger(logger);
+    this.rosterChangeLogger = new RosterChangeLogger(logger);
     this.config = new ConfigHolder(logger, cfg.maxKeyAgeMs);
     this.replicas = new IndexReplicas(store, logger);
     this.lease = new LeaseTask(
@@ -136,21 +136,21 @@
       isNamed => this.onLeaseChange(isNamed),
       logger,
     );
-    const book = new CrashRegistry(Math.random());
-    this.crashNews = new CrashReplicator(
+    const registry = new CrashRegistry(Math.random());
+    this.crashReplicator = new CrashReplicator(
       store,
       directory.crashTopic,
-      book,
+      registry,
       fingerprint => this.crashes.onRemoteUpdate(fingerprint),
       logger,
     );
     this.crashes = new CrashWatch({
-      book,
-      publisher: this.crashNews,
+      registry: registry,
+      publisher: this.crashReplicator,
       metrics: this.metrics,
       logger,
     });
-    this.metrics.registerGauge('crash_suspects', () => book.size);
+    this.metrics.registerGauge('crash_suspects', () => registry.size);
     this.meter = cfg.usage && new UsageMeter(store, cfg, cfg.usage.windowMs);
     const forwarder = new Forwarder({
       roster: this.roster,
@@ -199,7 +199,7 @@
         directory.endpointTopic,
         ROSTER_GATHER_MS,
         record => this.applyEndpointRecord(record),
-        () => (this.isRosterKnown = true),
+        () => (this.wasRosterRead = true),
       ),
     ];
     this.config.onChange(table => {
@@ -236,7 +236,7 @@
     await this.front.listen(cfg.frontAddress);
     if (this.isStopping) return;
     for (const feed of this.feeds) void feed.run();
-    void this.crashNews.run();
+    void this.crashReplicator.run();
     this.lease.start();
     this.sweepTimer = setInterval(() => this.sweep(), SWEEP_MS);
     this.isServing = true;
@@ -249,7 +249,7 @@
 
   /** Whether the configuration and the endpoint list have been read. */
   private get hasDeployment(): boolean {
-    return this.config.table !== undefined && this.isRosterKnown;
+    return this.config.table !== undefined && this.wasRosterRead;
   }
 
   /** Whether the load balancer should send callers to this VM. */
@@ -291,8 +291,8 @@
     this.stopCoordinating();
     await this.lease.release();
     await sleep(BALANCER_REMOVAL_MS);
-    const leftMs = Math.max(endMs - this.clock.now(), 0);
-    await Promise.race([this.finishRequests(), sleep(leftMs)]);
+    const remainingMs = Math.max(endMs - this.clock.now(), 0);
+    await Promise.race([this.finishRequests(), sleep(remainingMs)]);
   }
 
   private async finishRequests(): Promise<void> {
@@ -303,7 +303,7 @@
   private close(): void {
     clearInterval(this.sweepTimer);
     for (const feed of this.feeds) feed.stop();
-    this.crashNews.stop();
+    this.crashReplicator.stop();
     this.lease.stop();
     this.front.close();
     this.readiness.close();
@@ -330,8 +330,8 @@
       onRecord,
       onCaughtUp,
       onContact: () => (this.contactMs = this.clock.now()),
-      onRead: () => this.rosterLog.flush(),
-      onLost: () => undefined,
+      onRead: () => this.rosterChangeLogger.flush(),
+      onReadFailed: () => undefined,
     };
     return new KeyedFeed(this.store, cfg, events, this.deps.logger);
   }
@@ -365,7 +365,7 @@
     const nowMs = this.clock.now();
     if (value === undefined) {
       const change = this.roster.remove(key, offset, nowMs);
-      if (change) this.rosterLog.record('left', change.entry, offset);
+      if (change) this.rosterChangeLogger.record('left', change.entry, offset);
       if (change && !change.entry.isDraining) {
         this.crashes.onEndpointGone(change.entry);
       }
@@ -382,7 +382,7 @@
       this.forget(entry);
     }
     if (kind !== 'stale') this.runner?.onEndpointChange(entry.id);
-    this.rosterLog.record(kind, entry, offset);
+    this.rosterChangeLogger.record(kind, entry, offset);
   }
 
   private sweep(): void {
@@ -413,7 +413,7 @@
       newestVersions: this.newestVersions,
       clock: this.clock,
       metrics: this.metrics,
-      vmName: this.cfg.incarnationId,
+      incarnationId: this.cfg.incarnationId,
       termId: `${this.cfg.incarnationId}.${this.nextTerm++}`,
       view: this.view,
       dataCentre: this.cfg.dataCentre,
--- a/packages/daemon/src/gateway/requests/__tests__/forwarder.spec.ts
+++ b/packages/daemon/src/gateway/requests/__tests__/forwarder.spec.ts
@@ -64,7 +64,7 @@
     metrics: new GatewayMetrics(),
     logger: silentLogger,
   });
-  const ask = (body: string): Promise<ForwardOutcome> =>
+  const send = (body: string): Promise<ForwardOutcome> =>
     forwarder.start({
       method: 'POST',
       path: '/x',
@@ -74,9 +74,9 @@
       caller: {kind: 'unchecked'},
       route: ROUTE,
       configVersion: 1,
-      deadlineMs: performance.now() + 4000,
+      deadlineAtMs: performance.now() + 4000,
     }).outcome;
-  return {ask, reached};
+  return {ask: send, reached};
 }
 
 // Guards against a request that crashes one endpoint after another.
--- a/packages/daemon/src/gateway/requests/__tests__/stream_call.spec.ts
+++ b/packages/daemon/src/gateway/requests/__tests__/stream_call.spec.ts
@@ -90,7 +90,7 @@
         caller: {kind: 'unchecked'},
         route: {...ROUTE, ...extra},
         configVersion: 1,
-        deadlineMs: performance.now() + 4000,
+        deadlineAtMs: performance.now() + 4000,
       },
       res,
     );
@@ -118,7 +118,10 @@
   readonly isComplete: boolean;
 }
 
-function ask(port: number, onText?: (text: string) => void): Promise<Received> {
+function requestStream(
+  port: number,
+  onText?: (text: string) => void,
+): Promise<Received> {
   return new Promise((resolve, reject) => {
     const req = http.get({host: '127.0.0.1', port, path: '/x'}, res => {
       let text = '';
@@ -155,7 +158,9 @@
     writeEvent(res, 3);
     res.end();
   });
-  const {text, isComplete, stamp} = await ask(port, () => releaseNext());
+  const {text, isComplete, stamp} = await requestStream(port, () =>
+    releaseNext(),
+  );
   t.is(text, ALL_EVENTS);
   t.is(stamp, 's1');
   t.true(isComplete);
@@ -179,7 +184,7 @@
     writeEvent(res, 3);
     res.end();
   });
-  const {text, isComplete, stamp} = await ask(port);
+  const {text, isComplete, stamp} = await requestStream(port);
   t.is(text, ALL_EVENTS);
   t.is(stamp, 's0', 'the head and proof are those of the first endpoint');
   t.true(isComplete);
@@ -199,7 +204,7 @@
     },
     {resumable: false},
   );
-  const {isComplete} = await ask(front.port);
+  const {isComplete} = await requestStream(front.port);
   t.false(isComplete);
   t.is(front.countRequests(), 1);
 });
@@ -216,7 +221,7 @@
     }
     res.end();
   });
-  const {text, isComplete} = await ask(port);
+  const {text, isComplete} = await requestStream(port);
   t.is(text, 'id: 1\ndata: 1\n\n');
   t.false(isComplete);
 });
@@ -229,14 +234,14 @@
     },
     {resumable: false},
   );
-  t.like(await ask(port), {status: 500, text: 'no', stamp: 's1'});
+  t.like(await requestStream(port), {status: 500, text: 'no', stamp: 's1'});
 });
 
 test('a stream that every endpoint refused is refused', async t => {
   const front = await startFront(t, (_req, res) => {
     res.writeHead(503, {'not-run': '1'}).end();
   });
-  t.is((await ask(front.port)).status, 503);
+  t.is((await requestStream(front.port)).status, 503);
   t.is(front.countRequests(), 4);
 });
 
--- a/packages/daemon/src/gateway/requests/forward_request.ts
+++ b/packages/daemon/src/gateway/requests/forward_request.ts
@@ -22,7 +22,7 @@
   readonly route: Route;
   readonly configVersion: number;
   /** Steady ms by which the caller must have its answer. */
-  readonly deadlineMs: number;
+  readonly deadlineAtMs: number;
 }
 
 export interface ForwarderDeps {
--- a/packages/daemon/src/gateway/requests/forwarder.ts
+++ b/packages/daemon/src/gateway/requests/forwarder.ts
@@ -18,7 +18,7 @@
 import type {ServerResponse} from 'node:http';
 import {toWatchedEnd} from '../crashes/watched_request.js';
 import {
-  ENDPOINT_GONE,
+  ENDPOINT_UNREACHABLE,
   type EndpointAnswer,
   EndpointExchange,
   type ExchangeOutcome,
@@ -86,7 +86,7 @@
     this.service = pickService(route, random);
     this.guard = new QuarantineGuard(deps, req);
     this.outcome = new Promise(resolve => (this.resolve = resolve));
-    const remainingMs = Math.max(req.deadlineMs - performance.now(), 0);
+    const remainingMs = Math.max(req.deadlineAtMs - performance.now(), 0);
     this.deadlineTimer = setTimeout(() => this.expire(), remainingMs);
     this.attempt();
     this.scheduleHedge();
@@ -108,7 +108,7 @@
   }
 
   private attempt(): void {
-    const remainingMs = this.req.deadlineMs - performance.now();
+    const remainingMs = this.req.deadlineAtMs - performance.now();
     if (remainingMs < MIN_ATTEMPT_MS) return this.expire();
     if (this.guard.isQuarantined) return this.settleQuarantined();
     const entry = this.chooseEndpoint();
@@ -151,9 +151,9 @@
     const {protocol} = this.deps;
     const {method, path, headers, body, attemptId, caller} = this.req;
     const maySend = await this.guard.maySendTo(entry);
-    if (!maySend || this.isSettled) return ENDPOINT_GONE;
+    if (!maySend || this.isSettled) return ENDPOINT_UNREACHABLE;
     const watched = this.guard.recordStart(entry);
-    const remainingMs = this.req.deadlineMs - performance.now();
+    const remainingMs = this.req.deadlineAtMs - performance.now();
     const outcome = await exchange.run({
       method,
       path,
--- a/packages/daemon/src/gateway/requests/front_server.ts
+++ b/packages/daemon/src/gateway/requests/front_server.ts
@@ -181,7 +181,7 @@
     const {config} = this.deps;
     const match = config.table?.match(host, path);
     if (match) return succeed(match);
-    if (!config.table || !(await config.isComplete())) {
+    if (!config.table || !(await config.confirmCurrent())) {
       return fail(createError('not_current'));
     }
     const route = config.table.match(host, path);
@@ -256,7 +256,7 @@
       caller,
       route,
       configVersion: config.version,
-      deadlineMs: receivedMs + timeoutMs - ANSWER_MARGIN_MS,
+      deadlineAtMs: receivedMs + timeoutMs - ANSWER_MARGIN_MS,
     };
     const outcome =
       route.kind === 'streaming'
--- a/packages/daemon/src/gateway/requests/stream_call.ts
+++ b/packages/daemon/src/gateway/requests/stream_call.ts
@@ -20,7 +20,7 @@
 import {createError, type RadishyokeError} from '@radishyoke/shared/error_kind';
 import {toWatchedEnd, type WatchedRequest} from '../crashes/watched_request.js';
 import {
-  ENDPOINT_GONE,
+  ENDPOINT_UNREACHABLE,
   type EndpointAnswer,
 } from '../endpoints/endpoint_exchange.js';
 import {pickEndpoint} from '../endpoints/endpoint_picker.js';
@@ -165,7 +165,7 @@
     const {links, protocol} = this.deps;
     const {method, path, headers, body, attemptId, caller} = this.req;
     const maySend = await this.guard.maySendTo(entry);
-    if (!maySend || this.isFinished) return ENDPOINT_GONE;
+    if (!maySend || this.isFinished) return ENDPOINT_UNREACHABLE;
     const watched = this.guard.recordStart(entry);
     this.watchedRequest = watched;
     const stream = new EndpointStream(
@@ -250,7 +250,7 @@
   }
 
   private measureRemainingMs(): number {
-    return this.req.deadlineMs - performance.now();
+    return this.req.deadlineAtMs - performance.now();
   }
 
   /** Returns the result without a further attempt, because the request is quarantined for crashing endpoints. */
--- a/packages/daemon/src/gateway/store/__tests__/config_holder.spec.ts
+++ b/packages/daemon/src/gateway/store/__tests__/config_holder.spec.ts
@@ -10,11 +10,11 @@
   fc.assert(
     fc.property(fc.array(fc.integer({min: 1, max: 30})), versions => {
       const holder = new ConfigHolder(silentLogger);
-      const heard: number[] = [];
-      holder.onChange(table => heard.push(table.cfg.version));
+      const applied: number[] = [];
+      holder.onChange(table => applied.push(table.cfg.version));
       for (const version of versions) {
         const before = holder.version;
-        const isTaken = holder.offer({
+        const isApplied = holder.offer({
           version,
           routes: [],
           services: [],
@@ -25,12 +25,12 @@
             idleTimeoutMs: 1,
           },
         });
-        t.is(isTaken, version > before);
+        t.is(isApplied, version > before);
         t.is(holder.version, Math.max(version, before));
       }
       t.deepEqual(
-        heard,
-        [...new Set(heard)].sort((a, b) => a - b),
+        applied,
+        [...new Set(applied)].sort((a, b) => a - b),
       );
     }),
     {seed: 2, numRuns: 500},
@@ -79,7 +79,7 @@
   holder.attach(createSource(false, 60_000).source);
   t.is((await holder.admit('new', false)).kind, 'uncertain');
   t.is((await holder.admit('known', false)).kind, 'admitted');
-  t.false(await holder.isComplete());
+  t.false(await holder.confirmCurrent());
 });
 
 test('a key is not admitted for longer than maxKeyAgeMs without contact to the log', async t => {
@@ -117,5 +117,5 @@
     measureSilenceMs: () => 0,
   });
   t.is((await holder.admit('new', false)).kind, 'uncertain');
-  t.false(await holder.isComplete());
+  t.false(await holder.confirmCurrent());
 });
--- a/packages/daemon/src/gateway/store/__tests__/keyed_feed.spec.ts
+++ b/packages/daemon/src/gateway/store/__tests__/keyed_feed.spec.ts
@@ -20,7 +20,7 @@
       onCaughtUp: () => emit('caught up'),
       onContact: () => undefined,
       onRead: () => undefined,
-      onLost: () => emit('lost'),
+      onReadFailed: () => emit('lost'),
     },
     silentLogger,
   );
--- a/packages/daemon/src/gateway/store/__tests__/roster_change_logger.spec.ts
+++ b/packages/daemon/src/gateway/store/__tests__/roster_change_logger.spec.ts
@@ -3,7 +3,7 @@
 import {createEntry} from '../../__tests__/gateway_fixtures.js';
 import {RosterChangeLogger} from '../roster_change_logger.js';
 
-function createLog() {
+function createChangeLogger() {
   const lines: Array<readonly [string, unknown]> = [];
   const logger: EventLogger = {
     log: (_level, event, fields) => lines.push([event, fields]),
@@ -12,17 +12,17 @@
   return {
     lines,
     log,
-    note(change: 'joined' | 'left' | 'updated', index: number): void {
+    record(change: 'joined' | 'left' | 'updated', index: number): void {
       log.record(change, {...createEntry(80), id: `e${index}`}, index);
     },
   };
 }
 
 test('a few changes have a line each when the read ends', t => {
-  const {log, lines, note} = createLog();
-  note('joined', 1);
-  note('left', 2);
-  note('updated', 3);
+  const {log, lines, record} = createChangeLogger();
+  record('joined', 1);
+  record('left', 2);
+  record('updated', 3);
   t.is(lines.length, 0);
   log.flush();
   log.flush();
@@ -35,9 +35,9 @@
 // Guards against logs flooded by hundreds of VMs that each write a line per endpoint when
 // all endpoints join at the start of a deployment or leave together.
 test('many changes at once share one line', t => {
-  const {log, lines, note} = createLog();
-  for (let i = 0; i < 40; i++) note('joined', i);
-  note('left', 50);
+  const {log, lines, record} = createChangeLogger();
+  for (let i = 0; i < 40; i++) record('joined', i);
+  record('left', 50);
   log.flush();
   t.is(lines.length, 2);
   const [event, fields] = lines[0];
--- a/packages/daemon/src/gateway/store/config_holder.ts
+++ b/packages/daemon/src/gateway/store/config_holder.ts
@@ -59,15 +59,15 @@
     const first = this.decide({
       key,
       isPublic,
-      freshness: this.assessKnowledge(),
+      freshness: this.assessFreshness(),
     });
     if (first.kind !== 'uncertain') return first;
-    const knowledge = await this.catchUp();
-    return this.decide({key, isPublic, freshness: knowledge});
+    const freshness = await this.catchUp();
+    return this.decide({key, isPublic, freshness: freshness});
   }
 
   /** Reads the log and returns whether `table` is now known to be the newest version. */
-  async isComplete(): Promise<boolean> {
+  async confirmCurrent(): Promise<boolean> {
     return (await this.catchUp()) === 'current';
   }
 
@@ -87,10 +87,10 @@
       this.source.catchUp(),
       sleep(CATCH_UP_TIMEOUT_MS, false),
     ]);
-    return isRead ? 'current' : this.assessKnowledge();
+    return isRead ? 'current' : this.assessFreshness();
   }
 
-  private assessKnowledge(): ConfigFreshness {
+  private assessFreshness(): ConfigFreshness {
     const silentMs = this.source?.measureSilenceMs() ?? 0;
     return silentMs > this.maxKeyAgeMs ? 'expired' : 'behind';
   }
--- a/packages/daemon/src/gateway/store/keyed_feed.ts
+++ b/packages/daemon/src/gateway/store/keyed_feed.ts
@@ -23,7 +23,7 @@
   onContact(): void;
   /** All records of one read were handed over. */
   onRead(): void;
-  onLost(detail: string): void;
+  onReadFailed(detail: string): void;
 }
 
 /** First pause after a failed read, ms; doubles up to `MAX_RETRY_MS`. Short, because a VM that can not read the topic serves from outdated records. */
@@ -203,7 +203,7 @@
         detail,
       });
     }
-    this.events.onLost(detail);
+    this.events.onReadFailed(detail);
   }
 
   private async pause(ms: number): Promise<void> {
--- a/packages/daemon/src/gateway/usage/__tests__/usage_fixtures.ts
+++ b/packages/daemon/src/gateway/usage/__tests__/usage_fixtures.ts
@@ -18,7 +18,7 @@
 /** A call as the API received it. */
 export interface UsageCall {
   readonly report: UsageReport;
-  readonly holder: CallCredentials;
+  readonly credentials: CallCredentials;
 }
 
 /** Fake of the platform's API that gives the planned answers first and then accepts everything. */
@@ -31,9 +31,9 @@
 
   async reportUsage(
     report: UsageReport,
-    holder: CallCredentials,
+    credentials: CallCredentials,
   ): Promise<ControlAnswer> {
-    this.calls.push({report, holder});
+    this.calls.push({report, credentials: credentials});
     const answer = this.plannedAnswers.shift() ?? 'accepted';
     // A report without an answer may have been accepted.
     if (answer === 'accepted' || answer === 'unknown') this.accept(report);
@@ -48,9 +48,10 @@
 
   private accept({window, counts}: UsageReport): void {
     const text = JSON.stringify(Object.entries(counts).sort());
-    const known = this.accepted.get(window) ?? text;
-    if (known !== text) this.problems.push(`${window}: ${known}, then ${text}`);
-    this.accepted.set(window, known);
+    const firstText = this.accepted.get(window) ?? text;
+    if (firstText !== text)
+      this.problems.push(`${window}: ${firstText}, then ${text}`);
+    this.accepted.set(window, firstText);
   }
 }
 
--- a/packages/daemon/src/gateway/usage/__tests__/usage_task.spec.ts
+++ b/packages/daemon/src/gateway/usage/__tests__/usage_task.spec.ts
@@ -39,7 +39,7 @@
   t.deepEqual(api.calls, [
     {
       report: {window: 10, counts: {alpha: 5}},
-      holder: {vmName: 'vm-a', fencingToken: 1},
+      credentials: {vmName: 'vm-a', fencingToken: 1},
     },
   ]);
 });
--- a/packages/daemon/src/gateway/usage/usage_task.ts
+++ b/packages/daemon/src/gateway/usage/usage_task.ts
@@ -195,8 +195,8 @@
     const {api, lease, vmName, store, logger, metrics} = this.deps;
     const {window} = report;
     const {fencingToken} = lease;
-    const holder: CallCredentials = {vmName, fencingToken};
-    const answer = await api.reportUsage(report, holder);
+    const credentials: CallCredentials = {vmName, fencingToken};
+    const answer = await api.reportUsage(report, credentials);
     metrics.count(`usage_${answer}`);
     logger.log(answer === 'accepted' ? 'info' : 'warn', 'usage report', {
       window,
