--- a/packages/daemon/src/gateway/__tests__/gateway.spec.ts
+++ b/packages/daemon/src/gateway/__tests__/gateway.spec.ts
@@ -59,7 +59,7 @@
   const gateway = new Gateway(
     {
       vmName: 'vm',
-      incarnationId: 'life',
+      incarnationId: 'start-1',
       dataCentre: 'dc',
       frontAddress: '127.0.0.1:0',
       readyAddress: '127.0.0.1:0',
--- a/packages/daemon/src/gateway/__tests__/gateway_fixtures.ts
+++ b/packages/daemon/src/gateway/__tests__/gateway_fixtures.ts
@@ -98,7 +98,7 @@
   registry = new CrashRegistry(0),
 ): CrashWatch {
   return new CrashWatch({
-    registry: registry,
+    registry,
     publisher: {publish: () => undefined},
     metrics: new GatewayMetrics(),
     logger: silentLogger,
--- a/packages/daemon/src/gateway/batches/__tests__/record_writer.spec.ts
+++ b/packages/daemon/src/gateway/batches/__tests__/record_writer.spec.ts
@@ -89,7 +89,7 @@
 });
 
 // Guards against a log that reaches its size limit and refuses all appends. Items
-// run for minutes and their output is written twice a second, so progress that is
+// run for minutes and their output is written twice per second, so progress that is
 // too old for a failover must be trimmed.
 test.serial('progress that is older than its retention is trimmed', async t => {
   const clock = install();
--- a/packages/daemon/src/gateway/batches/batch_loader.ts
+++ b/packages/daemon/src/gateway/batches/batch_loader.ts
@@ -27,7 +27,7 @@
 /** First pause after a failed read, ms; it doubles up to `MAX_RETRY_MS`. */
 const FIRST_RETRY_MS = 100;
 const MAX_RETRY_MS = 800;
-/** Batches that are read at the same time, oldest first. More would share a slow link, and none would be complete soon. */
+/** Batches that are read at the same time, oldest first. With more, all of them would complete late on a slow link. */
 const MAX_LOADS = 3;
 
 type Transcripts = ReadonlyMap<string, Transcript>;
--- a/packages/daemon/src/gateway/batches/batch_runner.ts
+++ b/packages/daemon/src/gateway/batches/batch_runner.ts
@@ -176,7 +176,7 @@
       scheduler: this.scheduler,
       newestVersions,
       metrics: deps.metrics,
-      incarnationId: incarnationId,
+      incarnationId,
       logger,
     });
   }
@@ -230,7 +230,7 @@
     if (entry) this.fleet.recordEntry(entry);
   }
 
-  /** Drops the state of an endpoint that is gone or has restarted. */
+  /** Drops the state of an endpoint that was removed or has restarted. */
   forgetEndpoint(id: string): void {
     this.scheduler.engineHealth.forget(id);
     this.fleet.forget(id);
@@ -494,7 +494,7 @@
     this.scheduleDecision();
   }
 
-  /** Whether the item must not run now: it is quarantined, or an inquiry is open into a crash of an endpoint that had it in flight. */
+  /** Whether the item must not run now, because it is quarantined or a check in progress may add another crash to it. */
   private isBlocked(job: Job): boolean {
     const {crashes} = this.deps;
     const getFingerprint = () => this.fingerprint(job);
--- a/packages/daemon/src/gateway/batches/generation.ts
+++ b/packages/daemon/src/gateway/batches/generation.ts
@@ -104,7 +104,7 @@
     res.on('data', (text: string) => this.parser.feed(text));
     res.on('error', err => this.onDisconnect(err.message));
     res.on('end', () => {
-      if (!res.complete) return this.onDisconnect('the stream broke off');
+      if (!res.complete) return this.onDisconnect('the stream ended early');
       this.end('finished', 'whole');
     });
   }
--- a/packages/daemon/src/gateway/batches/item_log.ts
+++ b/packages/daemon/src/gateway/batches/item_log.ts
@@ -52,8 +52,8 @@
   /**
    * Marks the text of an item as complete, so that a coordinator that takes over
    * before the score arrives does not generate the text again. The last
-   * event is written again if necessary, since the position of the mark in the
-   * text follows from it.
+   * event is written again if necessary, since the position of a record in the
+   * text follows from its events.
    */
   writeCompleteText(job: Job): void {
     const last = job.transcript.events.length - 1;
--- a/packages/daemon/src/gateway/batches/reward_task.ts
+++ b/packages/daemon/src/gateway/batches/reward_task.ts
@@ -1,6 +1,6 @@
 /**
  * Makes the reward calls of the coordinator. They start as soon as a text is
- * complete, without a detour through the log.
+ * complete, without waiting until it is stored in the log.
  */
 
 import type {Job} from '@radishyoke/core/batches/batch_job';
@@ -47,7 +47,7 @@
 
 export interface RewardEvents {
   onScore(job: Job, score: string): void;
-  /** An endpoint answered that the call failed; the job is given up after `attempts` of these failures. */
+  /** An endpoint answered that the call failed; the job is given up after `attempts` such failures. */
   onFailed(job: Job, attempts: number): void;
   /** A call ended without a result for its job, so another call may start. */
   onFree(): void;
--- a/packages/daemon/src/gateway/crashes/__tests__/crash_replicator.spec.ts
+++ b/packages/daemon/src/gateway/crashes/__tests__/crash_replicator.spec.ts
@@ -24,22 +24,22 @@
     silentLogger,
   );
   t.teardown(() => replicator.stop());
-  return {book: registry, replicator, store, updated};
+  return {registry, replicator, store, updated};
 }
 
 async function waitUntil(isDone: () => boolean): Promise<void> {
   for (let i = 0; i < 400 && !isDone(); i++) await sleep(10);
 }
 
-test('marks are written to the log and withdrawn when the request is cleared', async t => {
-  const {book, replicator, store} = createReplicator(t);
-  book.merge('f', [CRASH], Date.now());
+test('crashes are written to the log and withdrawn when the request is cleared', async t => {
+  const {registry, replicator, store} = createReplicator(t);
+  registry.merge('f', [CRASH], Date.now());
   replicator.publish('f');
   await waitUntil(() => store.keyedWrites.length === 1);
   const [{key, value}] = store.keyedWrites;
   t.is(key, 'f');
   t.deepEqual(decodeCrashRecords(value!), {ok: true, value: [CRASH]});
-  book.clear('f');
+  registry.clear('f');
   replicator.publish('f');
   await waitUntil(() => store.keyedWrites.length === 2);
   t.deepEqual(store.keyedWrites[1], {key: 'f'});
@@ -47,21 +47,24 @@
 
 // Guards against updates that are lost while the log is unavailable.
 test('a failed append is retried', async t => {
-  const {book, replicator, store} = createReplicator(t);
+  const {registry, replicator, store} = createReplicator(t);
   store.appendPlans.push('refused', 'unknown');
-  book.merge('f', [CRASH], Date.now());
+  registry.merge('f', [CRASH], Date.now());
   replicator.publish('f');
   await waitUntil(() => store.keyedWrites.length === 1);
   t.is(store.keyedWrites[0].key, 'f');
 });
 
-// Guards against losing all marks when all VMs restart.
-test('a VM that starts reads the marks in the log', async t => {
+// Guards against losing all crash records when all VMs restart.
+test('a VM that starts reads the crash records in the log', async t => {
   const store = new MemoryStore();
   const value = Buffer.from(encodeCrashRecords([CRASH]));
   store.newestReads.push({
     kind: 'page',
-    records: [{key: 'f', value, offset: 0}, createKeyed('bad', 1, 'not marks')],
+    records: [
+      {key: 'f', value, offset: 0},
+      createKeyed('bad', 1, 'not crash records'),
+    ],
     endOffset: 2,
   });
   store.keyedReads.push({
@@ -69,22 +72,22 @@
     records: [{key: 'g', value, offset: 2}, createKeyed('f', 3)],
     endOffset: 4,
   });
-  const {book, replicator, updated} = createReplicator(t, store);
+  const {registry, replicator, updated} = createReplicator(t, store);
   void replicator.run();
-  await waitUntil(() => book.has('g'));
-  t.false(book.has('f'), 'withdrawn by another VM');
-  t.deepEqual(book.getCrashes('g'), [CRASH]);
-  t.false(book.has('bad'));
+  await waitUntil(() => registry.has('g'));
+  t.false(registry.has('f'), 'withdrawn by another VM');
+  t.deepEqual(registry.getCrashes('g'), [CRASH]);
+  t.false(registry.has('bad'));
   t.deepEqual(updated, ['f', 'g']);
 });
 
 // Guards against a caller that fills the log with ever new requests.
 test('publishing a request beyond the limit withdraws the oldest', async t => {
-  const {book, replicator, store} = createReplicator(t);
+  const {registry, replicator, store} = createReplicator(t);
   for (let i = 0; i < MAX_REQUESTS; i++) {
-    book.merge(`f${i}`, [{...CRASH, atMs: Date.now()}], Date.now());
+    registry.merge(`f${i}`, [{...CRASH, atMs: Date.now()}], Date.now());
   }
-  book.merge('new', [{...CRASH, atMs: Date.now()}], Date.now());
+  registry.merge('new', [{...CRASH, atMs: Date.now()}], Date.now());
   replicator.publish('new');
   await waitUntil(() => store.keyedWrites.length === 2);
   t.deepEqual(store.keyedWrites[0], {key: 'f0'});
--- a/packages/daemon/src/gateway/crashes/crash_codec.ts
+++ b/packages/daemon/src/gateway/crashes/crash_codec.ts
@@ -1,4 +1,4 @@
-/** Encoding of the crash marks that VMs share about requests in flight on endpoints that crashed. */
+/** Encodes and decodes the crash records that VMs share about requests in flight on endpoints that crashed. */
 
 import type {CrashRecord} from '@radishyoke/core/crashes/crash_registry';
 import {fail, type Result, succeed} from '@radishyoke/shared/result';
--- a/packages/daemon/src/gateway/crashes/crash_replicator.ts
+++ b/packages/daemon/src/gateway/crashes/crash_replicator.ts
@@ -1,7 +1,7 @@
 /**
- * Shares crash marks between VMs through a keyed topic of the log. Each suspected request
- * has one record, which stays until it is withdrawn, so the marks survive the loss of all
- * VMs. A VM that can not reach the log relies on the crashes it saw itself.
+ * Shares crash records between VMs through a keyed topic of the log. Each suspected request
+ * has one log record, which is retained until it is withdrawn, so that its crashes are not
+ * forgotten if all VMs restart. A VM that can not reach the log relies on the crashes it saw itself.
  */
 
 import type {CrashRegistry} from '@radishyoke/core/crashes/crash_registry';
@@ -35,7 +35,7 @@
     private readonly store: LogStore,
     private readonly topic: string,
     private readonly registry: CrashRegistry,
-    /** Called for each request whose marks were read from the log. */
+    /** Called for each request whose crashes were read from the log. */
     private readonly onUpdate: (fingerprint: string) => void,
     private readonly logger: EventLogger,
   ) {
@@ -60,7 +60,7 @@
     this.feed.stop();
   }
 
-  /** Publishes the current marks of the request to the other VMs, and withdraws those that the book drops. */
+  /** Publishes the crashes of the request to the other VMs, and withdraws the log records of requests that the registry drops. */
   publish(fingerprint: string): void {
     for (const pruned of this.registry.prune(Date.now())) {
       this.pending.add(pruned);
@@ -84,7 +84,7 @@
     this.logger.log('warn', 'record skipped', {key, offset, detail});
   }
 
-  /** Writes all pending records, and retries until the log takes them. */
+  /** Writes all pending records, and retries until the log stores them. */
   private async writePending(): Promise<void> {
     this.isWriting = true;
     let retryMs = FIRST_RETRY_MS;
--- a/packages/daemon/src/gateway/crashes/crash_watch.ts
+++ b/packages/daemon/src/gateway/crashes/crash_watch.ts
@@ -22,7 +22,7 @@
   WatchedRequest,
 } from './watched_request.js';
 
-/** Publishes the crash marks of a request to the other VMs. */
+/** Publishes the crash records of a request to the other VMs. */
 export interface CrashPublisher {
   publish(fingerprint: string): void;
 }
@@ -38,7 +38,7 @@
 
 /** A request's first crash is published after this delay, ms, unless the request succeeds before: most do at their next endpoint. */
 const PUBLISH_DELAY_MS = 250;
-/** The marks of a request with at least this many crashes are published at once. */
+/** The crashes of a request are published at once if it has at least this many. */
 const IMMEDIATE_PUBLISH_CRASHES = 2;
 const MAX_LOGGED_FINGERPRINTS = 20;
 
@@ -124,7 +124,7 @@
     this.detector.forget(endpointId);
   }
 
-  /** Handles marks from another VM: a request that was answered here recently is cleared on all VMs. */
+  /** Handles a record from another VM: a request that was answered here recently is cleared on all VMs. */
   onRemoteUpdate(fingerprint: string): void {
     if (this.wasAnsweredRecently(fingerprint))
       this.withdrawSuspicion(fingerprint);
--- a/packages/daemon/src/gateway/crashes/endpoint_probe.ts
+++ b/packages/daemon/src/gateway/crashes/endpoint_probe.ts
@@ -7,7 +7,7 @@
   readonly port: number;
 }
 
-/** Without a connection within this time the endpoint counts as gone, ms; network latency is a few ms. */
+/** Without a connection within this time the endpoint counts as unreachable, ms; network latency is a few ms. */
 const CONNECT_TIMEOUT_MS = 250;
 /** A connection that stays open this long is one to the endpoint, ms: a proxy in between may accept a connection and close it at once. */
 const MIN_OPEN_MS = 60;
--- a/packages/daemon/src/gateway/endpoints/__tests__/http_call.spec.ts
+++ b/packages/daemon/src/gateway/endpoints/__tests__/http_call.spec.ts
@@ -3,7 +3,7 @@
 import test, {type ExecutionContext} from 'ava';
 import {callOnce, type CallRequest} from '../http_call.js';
 
-/** Starts a server that sends one of `parts` every `gapMs`, and never ends the answer if `isCut`. */
+/** Starts a server that sends one of `parts` every `gapMs`, and never ends the answer if `neverEnds`. */
 async function startSlowServer(
   t: ExecutionContext,
   parts: readonly string[],
--- a/packages/daemon/src/gateway/endpoints/endpoint_exchange.ts
+++ b/packages/daemon/src/gateway/endpoints/endpoint_exchange.ts
@@ -1,5 +1,5 @@
 /**
- * One attempt of a request at one endpoint. The answer is read completely and checked
+ * Runs one attempt of a request at one endpoint. The answer is read completely and checked
  * before it is passed on, so that a caller never receives a partial body, the answer to
  * another request, or bytes that are no HTTP answer.
  */
@@ -39,7 +39,7 @@
 /** Outcome if the endpoint was found unreachable before anything was sent. */
 export const ENDPOINT_UNREACHABLE = {
   kind: 'unsent',
-  detail: 'the endpoint is gone',
+  detail: 'the endpoint is unreachable',
 } as const;
 
 /** Longest answer accepted, bytes, since answers of plain services are buffered completely. */
@@ -61,7 +61,7 @@
     private readonly entry: EndpointEntry,
   ) {}
 
-  /** Sends `sent` and resolves with its outcome; never rejects. */
+  /** Sends `request` and resolves with its outcome; never rejects. */
   run(request: ExchangeRequest): Promise<ExchangeOutcome> {
     return new Promise(resolve => {
       const settle = (outcome: ExchangeOutcome) => {
--- a/packages/daemon/src/gateway/endpoints/endpoint_links.ts
+++ b/packages/daemon/src/gateway/endpoints/endpoint_links.ts
@@ -1,5 +1,5 @@
 /**
- * Connection pools to endpoints, one for each incarnation of an endpoint, so that a
+ * Manages the connection pools to endpoints, one per incarnation of an endpoint, so that a
  * request is never sent on a connection that was opened to an earlier incarnation.
  */
 
--- a/packages/daemon/src/gateway/endpoints/endpoint_protocol.ts
+++ b/packages/daemon/src/gateway/endpoints/endpoint_protocol.ts
@@ -59,7 +59,7 @@
   readonly orders: number;
   /** Number of requests running or waiting, a few hundred ms ago. */
   readonly runs: number;
-  /** Incarnation, as in the endpoint's entry. */
+  /** Identifies the incarnation, as in the endpoint's entry. */
   readonly startedAtMs: number;
 }
 
--- a/packages/daemon/src/gateway/endpoints/endpoint_stream.ts
+++ b/packages/daemon/src/gateway/endpoints/endpoint_stream.ts
@@ -1,5 +1,5 @@
 /**
- * One attempt at an endpoint whose answer is a stream of events. Each event is passed to
+ * Runs one attempt at an endpoint whose answer is a stream of events. Each event is passed to
  * the reader as soon as it has arrived completely.
  */
 
@@ -58,7 +58,7 @@
     private readonly reader: StreamReader,
   ) {}
 
-  /** Sends `sent` and resolves with the outcome of the attempt; never rejects. */
+  /** Sends `request` and resolves with the outcome of the attempt; never rejects. */
   run(request: ExchangeRequest): Promise<StreamOutcome> {
     const outcome = new Promise<StreamOutcome>(resolve => {
       this.resolve = resolve;
--- a/packages/daemon/src/gateway/endpoints/event_splitter.ts
+++ b/packages/daemon/src/gateway/endpoints/event_splitter.ts
@@ -6,14 +6,14 @@
 /** One event as received, with the blank line that ends it. */
 export interface RawEvent {
   readonly bytes: Buffer;
-  /** Undefined if the event has no id or one that is no whole number. */
+  /** Undefined if the event has no id or its id is not an integer. */
   readonly id: number | undefined;
 }
 
 const LINE_FEED = 0x0a;
 const CARRIAGE_RETURN = 0x0d;
 const ID_PATTERN = /^id: ?(\d+)\r?$/m;
-/** Longest event accepted, bytes; those of known endpoints have a few hundred bytes. */
+/** Longest event accepted, bytes; usual ones have a few hundred bytes. */
 const MAX_EVENT_BYTES = 1024 * 1024;
 
 export class EventSplitter {
--- a/packages/daemon/src/gateway/engines/__tests__/engine_fleet.spec.ts
+++ b/packages/daemon/src/gateway/engines/__tests__/engine_fleet.spec.ts
@@ -20,7 +20,7 @@
 // Guards against items that are sent to an engine that is draining and are lost
 // when it stops. The coordinator schedules from its tracked engines, so it must
 // leave out an engine that reports that it drains or whose entry is removed.
-test('an engine that drains or is gone is not given items', t => {
+test('an engine that drains or whose entry was removed is not given items', t => {
   const {roster, list} = createFleet();
   roster.put({...createEntry(PORT), id: 'stays'}, 0);
   roster.put({...createEntry(PORT), id: 'drains'}, 1);
--- a/packages/daemon/src/gateway/engines/engine_fleet.ts
+++ b/packages/daemon/src/gateway/engines/engine_fleet.ts
@@ -1,4 +1,4 @@
-/** Tracks the engines on the coordinator: their entries in the list, and what reports, runs and orders have shown since. */
+/** Tracks the weight versions, loads and order counts of engines on the coordinator, from their list entries, reports, runs and orders. */
 
 import type {EngineView} from '@radishyoke/core/batches/engine_health';
 import type {EndpointEntry} from '@radishyoke/core/fleet/endpoint_entry';
@@ -14,7 +14,7 @@
   readonly versions: Map<string, number>;
   /** Models that are being loaded, with the steady ms at which the load was recorded. */
   readonly loading: Map<string, number>;
-  /** Number of accepted orders that this VM has learned of. */
+  /** Highest number of orders that the engine is known to have accepted. */
   orders: number;
 }
 
@@ -62,7 +62,7 @@
     }
   }
 
-  /** Records the version of an engine as it is; an event that was made under `version` is the most reliable source. */
+  /** Sets the version of an engine, even to a lower one. The caller must be certain of it; the most reliable source is an event that the engine generated. */
   recordVersion(engineId: string, model: string, version: number): void {
     this.states.get(engineId)?.versions.set(model, version);
   }
--- a/packages/daemon/src/gateway/engines/lease_task.ts
+++ b/packages/daemon/src/gateway/engines/lease_task.ts
@@ -44,7 +44,7 @@
 const RETRY_MS = 100;
 /** Added to the time between the orders of two holders, ms, since the clocks of two VMs run at slightly different rates. */
 const ORDER_SLACK_MS = 50;
-/** Records of the lease that are kept as history for the analysis of faults. */
+/** Lease records that are retained as history for the analysis of faults. */
 const RETAINED_RECORDS = 500;
 /** Renewals between two trims of the partition. */
 const RENEWALS_PER_TRIM = 200;
@@ -71,7 +71,7 @@
   private isReleased = false;
   private renewals = 0;
   private contactMs = -Infinity;
-  /** Steady ms at which the last suspension was noticed; orders are paused after it for the validity of a lease. */
+  /** Steady ms at which the last suspension was noticed; no orders are sent for `validityMs` after it. */
   private resumedMs = -Infinity;
   /** By engine, the callback that ends the wait of an order for its announcement. */
   private readonly announcements = new Map<string, () => void>();
--- a/packages/daemon/src/gateway/engines/weight_task.ts
+++ b/packages/daemon/src/gateway/engines/weight_task.ts
@@ -60,7 +60,7 @@
   isUnanswered: boolean;
 }
 
-/** Facts that are the same for all engines at one time. */
+/** State that all candidates of one planning round share. */
 interface FleetSnapshot {
   /** Steady ms. */
   readonly nowMs: number;
--- a/packages/daemon/src/gateway/gateway.ts
+++ b/packages/daemon/src/gateway/gateway.ts
@@ -72,7 +72,7 @@
   readonly logger: EventLogger;
 }
 
-/** Pause after a read of the endpoint list that returned records, ms. Endpoints write to it all the time, and a change may take up to 2 s to have effect. */
+/** Pause after a read of the endpoint list that returned records, ms. Endpoints write to it continuously, and a change may take up to 2 s to have effect. */
 const ROSTER_GATHER_MS = 350;
 /** Pause after a read of the configuration that returned records, ms: only long enough to combine bursts. */
 const CONFIG_GATHER_MS = 30;
@@ -83,7 +83,7 @@
 /** The VM reports that it is not ready once the log has been silent for this long, ms. With a lower limit a single slow answer would be enough. */
 const MAX_LOG_SILENCE_MS = 1800;
 const SWEEP_MS = 500;
-/** Time until the load balancer sends no new connections, ms. It checks once a second and removes a VM after two failed checks. */
+/** Time until the load balancer sends no new connections, ms. It checks once per second and removes a VM after two failed checks. */
 const BALANCER_REMOVAL_MS = 3200;
 /** Part of the grace period that is reserved for delivering the last answers, ms. */
 const GRACE_SLACK_MS = 600;
@@ -145,7 +145,7 @@
       logger,
     );
     this.crashes = new CrashWatch({
-      registry: registry,
+      registry,
       publisher: this.crashReplicator,
       metrics: this.metrics,
       logger,
@@ -259,9 +259,9 @@
   }
 
   /**
-   * Stops after the requests in flight have finished. Further calls, such as from
-   * a supervisor and an operator, wait for the same end: if a second call resolved
-   * at once, the process would end and cut off the requests in flight.
+   * Stops after the requests in flight have finished. Later calls, such as from
+   * a supervisor after an operator, return the same promise: if they resolved at
+   * once, the process would end and cut off the requests in flight.
    */
   stop(): Promise<void> {
     if (this.ending) {
--- a/packages/daemon/src/gateway/requests/__tests__/forwarder.spec.ts
+++ b/packages/daemon/src/gateway/requests/__tests__/forwarder.spec.ts
@@ -76,29 +76,29 @@
       configVersion: 1,
       deadlineAtMs: performance.now() + 4000,
     }).outcome;
-  return {ask: send, reached};
+  return {send, reached};
 }
 
 // Guards against a request that crashes one endpoint after another.
 test('a request that was in flight in three crashes is sent to no further endpoint', async t => {
-  const {ask, reached} = await startForwarder(t, () => false);
-  const first = await ask(CRASHING_BODY);
+  const {send, reached} = await startForwarder(t, () => false);
+  const first = await send(CRASHING_BODY);
   t.is(first.kind === 'failed' && first.error.kind, 'endpoint_failed');
   await new Promise(resolve => setTimeout(resolve, 200));
   for (let i = 0; i < 5; i++) {
-    const again = await ask(CRASHING_BODY);
+    const again = await send(CRASHING_BODY);
     t.is(again.kind === 'failed' && again.error.kind, 'held_back');
     if (again.kind === 'failed') t.true(again.error.retryAfterMs! > 0);
   }
   t.is(reached.length, 3);
-  t.is((await ask('other')).kind, 'answered');
+  t.is((await send('other')).kind, 'answered');
 });
 
 // Guards against quarantining requests whose connections were merely reset.
 test('a request whose connections break is not quarantined while its endpoints stay reachable', async t => {
-  const {ask, reached} = await startForwarder(t, () => true);
+  const {send, reached} = await startForwarder(t, () => true);
   for (let i = 0; i < 3; i++) {
-    const outcome = await ask(CRASHING_BODY);
+    const outcome = await send(CRASHING_BODY);
     t.is(outcome.kind === 'failed' && outcome.error.kind, 'endpoint_failed');
   }
   t.is(reached.length, 9);
--- a/packages/daemon/src/gateway/requests/__tests__/stream_call.spec.ts
+++ b/packages/daemon/src/gateway/requests/__tests__/stream_call.spec.ts
@@ -193,7 +193,7 @@
 
 // Guards against a second run of a request that may run only once, and against a partial
 // answer that looks complete: the endpoint fails after its first event.
-test('a stream that is not resumable is broken off, not repeated', async t => {
+test('a stream that is not resumable is cut off, not repeated', async t => {
   const front = await startFront(
     t,
     async (_req, res) => {
@@ -247,7 +247,7 @@
 
 // Guards against an endpoint that keeps generating for a caller that disconnected in the
 // middle of a stream: the endpoint must see its connection close at once.
-test('a caller that disconnects ends the run', async t => {
+test('an endpoint sees its connection close when the caller disconnects', async t => {
   let close: () => void = () => undefined;
   const closed = new Promise<void>(resolve => (close = resolve));
   const {port} = await startFront(t, (_req, res) => {
--- a/packages/daemon/src/gateway/requests/front_server.ts
+++ b/packages/daemon/src/gateway/requests/front_server.ts
@@ -42,7 +42,7 @@
 
 /** Retry delay sent while this VM can not tell whether its configuration is current, ms; another VM may accept the retry. */
 const NOT_CURRENT_RETRY_MS = 150;
-/** Header limit, set when the server is created, before a configuration is known. */
+/** Header limit, set when the server is created, before a configuration was read. */
 const DEFAULT_MAX_HEADER_BYTES = 64 * 1024;
 /** Further requests are refused while the bodies in memory exceed this, bytes: an eighth of the smallest VM's memory. */
 const MAX_BUFFERED_BYTES = 24 * 1024 * 1024;
--- a/packages/daemon/src/gateway/store/__tests__/config_holder.spec.ts
+++ b/packages/daemon/src/gateway/store/__tests__/config_holder.spec.ts
@@ -104,7 +104,7 @@
   t.is(calls.count, 1);
 });
 
-test('nothing is admitted or refused before a configuration is known', async t => {
+test('nothing is admitted or refused before a configuration was read', async t => {
   const holder = new ConfigHolder(silentLogger);
   t.is((await holder.admit('key', false)).kind, 'uncertain');
 });
--- a/packages/daemon/src/gateway/store/__tests__/keyed_feed.spec.ts
+++ b/packages/daemon/src/gateway/store/__tests__/keyed_feed.spec.ts
@@ -20,7 +20,7 @@
       onCaughtUp: () => emit('caught up'),
       onContact: () => undefined,
       onRead: () => undefined,
-      onReadFailed: () => emit('lost'),
+      onReadFailed: () => emit('read failed'),
     },
     silentLogger,
   );
@@ -80,9 +80,9 @@
     createPage([createKeyed('a', 39, 'old')], 40),
   );
   store.keyedReads.push({kind: 'expired', firstOffset: 60});
-  const events = await follow(store, 'lost');
+  const events = await follow(store, 'read failed');
   t.false(events.includes('a=old@39'));
-  t.true(events.includes('lost'));
+  t.true(events.includes('read failed'));
 });
 
 test('a removal is not undone by a slower read of earlier records', async t => {
@@ -132,5 +132,9 @@
     {kind: 'failed', error: createError('log_unavailable')},
     createPage([createKeyed('a', 0, 'x')], 1),
   );
-  t.deepEqual(await follow(store, 'a=x@0'), ['caught up', 'lost', 'a=x@0']);
+  t.deepEqual(await follow(store, 'a=x@0'), [
+    'caught up',
+    'read failed',
+    'a=x@0',
+  ]);
 });
--- a/packages/daemon/src/gateway/store/__tests__/roster_change_logger.spec.ts
+++ b/packages/daemon/src/gateway/store/__tests__/roster_change_logger.spec.ts
@@ -8,24 +8,24 @@
   const logger: EventLogger = {
     log: (_level, event, fields) => lines.push([event, fields]),
   };
-  const log = new RosterChangeLogger(logger);
+  const changeLogger = new RosterChangeLogger(logger);
   return {
     lines,
-    log,
+    changeLogger,
     record(change: 'joined' | 'left' | 'updated', index: number): void {
-      log.record(change, {...createEntry(80), id: `e${index}`}, index);
+      changeLogger.record(change, {...createEntry(80), id: `e${index}`}, index);
     },
   };
 }
 
 test('a few changes have a line each when the read ends', t => {
-  const {log, lines, record} = createChangeLogger();
+  const {changeLogger, lines, record} = createChangeLogger();
   record('joined', 1);
   record('left', 2);
   record('updated', 3);
   t.is(lines.length, 0);
-  log.flush();
-  log.flush();
+  changeLogger.flush();
+  changeLogger.flush();
   t.deepEqual(
     lines.map(([event]) => event),
     ['endpoint joined', 'endpoint left'],
@@ -35,10 +35,10 @@
 // Guards against logs flooded by hundreds of VMs that each write a line per endpoint when
 // all endpoints join at the start of a deployment or leave together.
 test('many changes at once share one line', t => {
-  const {log, lines, record} = createChangeLogger();
+  const {changeLogger, lines, record} = createChangeLogger();
   for (let i = 0; i < 40; i++) record('joined', i);
   record('left', 50);
-  log.flush();
+  changeLogger.flush();
   t.is(lines.length, 2);
   const [event, fields] = lines[0];
   t.is(event, 'endpoints joined');
--- a/packages/daemon/src/gateway/store/config_holder.ts
+++ b/packages/daemon/src/gateway/store/config_holder.ts
@@ -44,7 +44,7 @@
     return this.current;
   }
 
-  /** Version of the configuration; 0 until one is known. */
+  /** Version of the configuration; 0 until one was read. */
   get version(): number {
     return this.current?.cfg.version ?? 0;
   }
@@ -63,15 +63,15 @@
     });
     if (first.kind !== 'uncertain') return first;
     const freshness = await this.catchUp();
-    return this.decide({key, isPublic, freshness: freshness});
+    return this.decide({key, isPublic, freshness});
   }
 
-  /** Reads the log and returns whether `table` is now known to be the newest version. */
+  /** Reads the log and returns whether `table` is now confirmed to be the newest version. */
   async confirmCurrent(): Promise<boolean> {
     return (await this.catchUp()) === 'current';
   }
 
-  /** Returns the caller for work that was accepted earlier, for the account if it had one. */
+  /** Returns the caller that work accepted earlier belongs to: its account, if it had one. */
   describeOwner(account: string | undefined): Caller {
     if (account !== undefined) return {kind: 'account', name: account};
     return this.current?.accounts.describeOwner(account) ?? {kind: 'unchecked'};
--- a/packages/daemon/src/gateway/store/keyed_feed.ts
+++ b/packages/daemon/src/gateway/store/keyed_feed.ts
@@ -20,6 +20,7 @@
   onRecord(record: KeyedRecord): void;
   /** All records of a snapshot were handed over; called after each start or restart. */
   onCaughtUp(): void;
+  /** The log answered. */
   onContact(): void;
   /** All records of one read were handed over. */
   onRead(): void;
--- a/packages/daemon/src/gateway/store/platform_directory.ts
+++ b/packages/daemon/src/gateway/store/platform_directory.ts
@@ -19,7 +19,7 @@
 export abstract class PlatformDirectory {
   abstract readonly configTopic: string;
   abstract readonly endpointTopic: string;
-  /** Topic of requests that crash endpoints, which this service itself writes. */
+  /** Topic of the crash records of requests, which this service itself writes. */
   abstract readonly crashTopic: string;
 
   abstract decodeConfigRecord(
--- a/packages/daemon/src/gateway/usage/__tests__/usage_fixtures.ts
+++ b/packages/daemon/src/gateway/usage/__tests__/usage_fixtures.ts
@@ -33,7 +33,7 @@
     report: UsageReport,
     credentials: CallCredentials,
   ): Promise<ControlAnswer> {
-    this.calls.push({report, credentials: credentials});
+    this.calls.push({report, credentials});
     const answer = this.plannedAnswers.shift() ?? 'accepted';
     // A report without an answer may have been accepted.
     if (answer === 'accepted' || answer === 'unknown') this.accept(report);
--- a/packages/daemon/src/gateway/usage/__tests__/usage_meter.spec.ts
+++ b/packages/daemon/src/gateway/usage/__tests__/usage_meter.spec.ts
@@ -11,7 +11,7 @@
 function createMeter(store: MemoryStore): UsageMeter {
   return new UsageMeter(
     store,
-    {vmName: 'vm', incarnationId: 'life'},
+    {vmName: 'vm', incarnationId: 'start-1'},
     WINDOW_MS,
   );
 }
--- a/packages/daemon/src/gateway/usage/__tests__/usage_task.spec.ts
+++ b/packages/daemon/src/gateway/usage/__tests__/usage_task.spec.ts
@@ -225,7 +225,7 @@
   }),
 );
 
-test('no window is reported with two different counts, whatever is lost and whoever acts', async t => {
+test('no window is reported with two different counts, whichever answers are lost and whichever holder acts', async t => {
   await fc.assert(
     fc.asyncProperty(fc.array(STEP, {maxLength: 60}), async steps => {
       const store = new MemoryStore();
