--- a/packages/cli/src/__tests__/trace_command.spec.ts
+++ b/packages/cli/src/__tests__/trace_command.spec.ts
@@ -48,9 +48,9 @@
 });
 
 test('trace reports an id that no line names, and a file that can not be read', async t => {
-  const unheard = await runInProcess(['trace', 'unheard'], {}, LOG);
-  t.is(unheard.code, 1);
-  t.regex(unheard.err, /no line of 3 names unheard/);
+  const missingId = await runInProcess(['trace', 'unheard'], {}, LOG);
+  t.is(missingId.code, 1);
+  t.regex(missingId.err, /no line of 3 names unheard/);
   const missing = await runInProcess(['trace', 'x', '/nowhere/at-all.log']);
   t.is(missing.code, 2);
   t.regex(missing.err, /can not be read/);
--- a/packages/cli/src/explain_command.ts
+++ b/packages/cli/src/explain_command.ts
@@ -96,7 +96,7 @@
 function renderText({decision, skipped}: RuleExplanation): string {
   const lines = skipped.map(renderSkipped);
   if (decision) {
-    lines.push(`match [rule.${decision.rule}]: ${renderThen(decision.then)}`);
+    lines.push(`match [rule.${decision.rule}]: ${renderAction(decision.then)}`);
   } else {
     lines.push('no rule matches; the request is refused with no_rule');
   }
@@ -111,12 +111,12 @@
   return `skip  [rule.${rule}]: ${reasons.join('; ')}`;
 }
 
-function renderThen(then: RuleAction): string {
-  if (then.kind === 'refuse') return `refuse with ${then.error}`;
-  const details = Object.entries(then)
+function renderAction(action: RuleAction): string {
+  if (action.kind === 'refuse') return `refuse with ${action.error}`;
+  const details = Object.entries(action)
     .filter(
       ([key, value]) => !/^(kind|group)$/.test(key) && value !== undefined,
     )
     .map(([key, value]) => `${key}=${value}`);
-  return `route to ${then.group} (${details.join(', ')})`;
+  return `route to ${action.group} (${details.join(', ')})`;
 }
--- a/packages/daemon/src/__tests__/serve.spec.ts
+++ b/packages/daemon/src/__tests__/serve.spec.ts
@@ -6,7 +6,7 @@
 import {createSingleVmSettings} from '@radishyoke/fakes/vm_settings';
 import {runServe} from '../serve.js';
 
-async function listenSomewhere(): Promise<net.Server> {
+async function listenOnFreePort(): Promise<net.Server> {
   const server = net.createServer();
   await new Promise<void>(resolve => server.listen(0, '127.0.0.1', resolve));
   return server;
@@ -19,9 +19,9 @@
 test('a VM whose port is in use exits with the failure code', async t => {
   const dir = await mkdtemp(path.join(tmpdir(), 'radishyoke-serve-'));
   t.teardown(() => rm(dir, {recursive: true}));
-  const taken = await listenSomewhere();
-  t.teardown(() => taken.close());
-  const {port} = taken.address() as net.AddressInfo;
+  const otherServer = await listenOnFreePort();
+  t.teardown(() => otherServer.close());
+  const {port} = otherServer.address() as net.AddressInfo;
   const file = path.join(dir, 'settings.ini');
   await writeFile(
     file,
--- a/packages/daemon/src/admin/__tests__/admin_route.spec.ts
+++ b/packages/daemon/src/admin/__tests__/admin_route.spec.ts
@@ -10,9 +10,11 @@
   for (const {method, path, role, platformOnly, answer} of ADMIN_ROUTES) {
     const call = `| \`${method} ${path}`;
     const line = lines.find(
-      one => /^[`?]/.test(one.slice(call.length)) && one.startsWith(call),
+      candidate =>
+        /^[`?]/.test(candidate.slice(call.length)) &&
+        candidate.startsWith(call),
     );
-    const who = platformOnly ? `${role}, platform team` : role;
-    t.true(line?.includes(` | ${who} | \`${answer}\`: `), call);
+    const access = platformOnly ? `${role}, platform team` : role;
+    t.true(line?.includes(` | ${access} | \`${answer}\`: `), call);
   }
 });
--- a/packages/daemon/src/apps/app_api.ts
+++ b/packages/daemon/src/apps/app_api.ts
@@ -44,7 +44,7 @@
 const progressTimeoutMs = 10_000;
 const requestIdPattern = /^[\x21-\x7e]{1,200}$/;
 /** Assumed bytes per token when the prompt tokens of a body are estimated. */
-const charsPerToken = 4;
+const bytesPerToken = 4;
 
 /** One finished request, for metrics and the audit. */
 export interface AppRecord {
@@ -219,7 +219,7 @@
     group: action.group,
     priority: action.priority,
     deadlineAtMs: Date.now() + action.timeoutMs,
-    promptTokens: Math.ceil((body?.length ?? 0) / charsPerToken),
+    promptTokens: Math.ceil((body?.length ?? 0) / bytesPerToken),
     maxTokens: 0,
     prefixKey: '',
     stepKey: '',
@@ -249,18 +249,22 @@
   req: IncomingMessage,
   route: Route,
 ): Result<boolean> {
-  const mark = readSingleHeader(req, HEADERS.nonIdempotent);
-  if (mark !== undefined && mark !== 'true' && mark !== 'false') {
+  const headerValue = readSingleHeader(req, HEADERS.nonIdempotent);
+  if (
+    headerValue !== undefined &&
+    headerValue !== 'true' &&
+    headerValue !== 'false'
+  ) {
     const detail = `header ${HEADERS.nonIdempotent} must be true or false`;
     return fail(createError('bad_request', detail));
   }
   // The caller's `true` takes precedence over the rule: a rule meant for reads
   // could otherwise have a write retried and executed twice.
-  if (mark === 'true') return succeed(false);
+  if (headerValue === 'true') return succeed(false);
   if (route.action.idempotent !== undefined) {
     return succeed(route.action.idempotent);
   }
-  if (mark === 'false') return succeed(true);
+  if (headerValue === 'false') return succeed(true);
   return succeed(idempotentMethods.has(req.method ?? ''));
 }
 
--- a/packages/daemon/src/audit/__tests__/audit_task.spec.ts
+++ b/packages/daemon/src/audit/__tests__/audit_task.spec.ts
@@ -74,7 +74,7 @@
   for (let i = 0; i < 6; i++) audit.record(createEntry(`r${i}`));
   t.deepEqual(audit.status, {waiting: 4, dropped: 2});
   fake.faults.set({kind: 'lose_answers', next: 2});
-  await audit.leave();
+  await audit.closeChain();
   const report = verifyExport(exportAudit(fake));
   t.deepEqual(report.faults, []);
   t.is(report.dropped, 2);
@@ -91,10 +91,10 @@
     .take(1)
     .drain();
   a.audit.record(createEntry('r1'));
-  await a.audit.leave();
+  await a.audit.closeChain();
   await anchored;
   b.audit.record(createEntry('r2'));
-  await b.audit.leave();
+  await b.audit.closeChain();
   const lines = exportAudit(fake);
   t.deepEqual(verifyExport(lines).faults, []);
   t.true(lines.some(line => line.includes('"witnessed":[{"writer":"a/a-1"')));
--- a/packages/daemon/src/audit/audit_task.ts
+++ b/packages/daemon/src/audit/audit_task.ts
@@ -91,7 +91,7 @@
   }
 
   /** Writes all waiting entries and closes the chain; resolves once logged. */
-  async leave(): Promise<void> {
+  async closeChain(): Promise<void> {
     clearTimeout(this.timer);
     this.stopped = true;
     this.reportGap();
--- a/packages/daemon/src/log/__tests__/log_task.spec.ts
+++ b/packages/daemon/src/log/__tests__/log_task.spec.ts
@@ -84,8 +84,11 @@
   t.deepEqual(claims.map(claim => claim.ok).sort(), [false, true]);
   const winner = tasks[claims.findIndex(claim => claim.ok)]!;
   const loser = tasks.find(task => task !== winner)!;
-  const won = claims.find(claim => claim.ok);
-  const held = {lease: 'step:x/1', fencing: won?.ok ? won.value : -1};
+  const acceptedClaim = claims.find(claim => claim.ok);
+  const held = {
+    lease: 'step:x/1',
+    fencing: acceptedClaim?.ok ? acceptedClaim.value : -1,
+  };
   t.true(winner.holds(held));
   await winner.closeSession();
   const next = await loser.claim('step:x/1');
@@ -156,7 +159,10 @@
   const late = startTask(t, log, 'c');
   const claim = await late.append(REQUEST_CLAIM);
   t.true(claim.ok && claim.value.verdict.kind === 'void');
-  const again = await late.publish({...publication, text: 'other rules'});
-  t.true(again.ok && again.value.kind === 'lost_race');
+  const laterPublication = await late.publish({
+    ...publication,
+    text: 'other rules',
+  });
+  t.true(laterPublication.ok && laterPublication.value.kind === 'lost_race');
   t.deepEqual(late.config.current(team), a.config.current(team));
 });
--- a/packages/daemon/src/log/log_task.ts
+++ b/packages/daemon/src/log/log_task.ts
@@ -244,7 +244,7 @@
 
   /** Appends a record; resolves when it has been read back and judged. */
   append(body: StateBody): Promise<Result<JudgedRecord<StateRecord>>> {
-    this.stateFollower.hurry();
+    this.stateFollower.skipPause();
     return this.stateWriter.append(body);
   }
 
@@ -258,7 +258,7 @@
     readonly author: string;
     readonly text: string;
   }): Promise<Result<ConfigOutcome>> {
-    this.configFollower.hurry();
+    this.configFollower.skipPause();
     return this.configWriter.append({kind: 'config_published', ...publication});
   }
 
@@ -314,8 +314,10 @@
     );
     for (const judged of applied) this.emitConfig(judged);
     if (transfer.kind === 'snapshot') {
-      const own = this.configHistory.highestSeqOf(buildWriterKey(this.cfg));
-      this.configWriter.failThrough(own);
+      const ownHighestSeq = this.configHistory.highestSeqOf(
+        buildWriterKey(this.cfg),
+      );
+      this.configWriter.failThrough(ownHighestSeq);
       this.changeSource.emit({kind: 'reset'});
     }
     return true;
@@ -367,8 +369,10 @@
     const {claimHorizonMs} = this.cfg;
     const replace = (snapshot: StateSnapshot) => {
       this.stateFold = new StateFold({claimHorizonMs}, snapshot);
-      const own = this.stateFold.highestSeqOf(buildWriterKey(this.cfg));
-      this.stateWriter.failThrough(own);
+      const ownHighestSeq = this.stateFold.highestSeqOf(
+        buildWriterKey(this.cfg),
+      );
+      this.stateWriter.failThrough(ownHighestSeq);
       this.changeSource.emit({kind: 'reset'});
     };
     return {
--- a/packages/daemon/src/log/stream_follower.ts
+++ b/packages/daemon/src/log/stream_follower.ts
@@ -113,7 +113,7 @@
    * Reads without delay, because a caller is waiting for a record to be read
    * back.
    */
-  hurry(): void {
+  skipPause(): void {
     this.reader.skipPause();
   }
 
--- a/packages/daemon/src/peers/__tests__/peer_task.spec.ts
+++ b/packages/daemon/src/peers/__tests__/peer_task.spec.ts
@@ -27,7 +27,7 @@
   readonly task: PeerTask;
   readonly events: PeerEvent[];
   /** Resolves once any past or future event passes `test`. */
-  readonly until: (test: (event: PeerEvent) => boolean) => Promise<void>;
+  readonly until: (matches: (event: PeerEvent) => boolean) => Promise<void>;
 }
 
 async function createTask(
@@ -50,17 +50,17 @@
   const waiting = new Set<() => void>();
   void task.events.forEach(event => {
     events.push(event);
-    for (const look of [...waiting]) look();
+    for (const checkEvents of [...waiting]) checkEvents();
   });
-  const until = (holds: (event: PeerEvent) => boolean) =>
+  const until = (matches: (event: PeerEvent) => boolean) =>
     new Promise<void>(resolve => {
-      const look = () => {
-        if (!events.some(holds)) return;
-        waiting.delete(look);
+      const checkEvents = () => {
+        if (!events.some(matches)) return;
+        waiting.delete(checkEvents);
         resolve();
       };
-      waiting.add(look);
-      look();
+      waiting.add(checkEvents);
+      checkEvents();
     });
   const address = await task.start();
   return {task, events, until, address};
@@ -89,14 +89,14 @@
     await until(e => e.kind === 'suspects' && e.fingerprints[0] === 'f');
     await until(e => e.kind === 'config_seen' && e.next === 1);
     await until(e => e.kind === 'config_transfer');
-    const passed = events.find(e => e.kind === 'config_transfer');
-    t.deepEqual(passed, {kind: 'config_transfer', transfer});
+    const transferEvent = events.find(e => e.kind === 'config_transfer');
+    t.deepEqual(transferEvent, {kind: 'config_transfer', transfer});
   }
 
   first.task.publish({kind: 'leave'});
-  const without = (e: PeerEvent) =>
+  const lacksFirstVm = (e: PeerEvent) =>
     e.kind === 'vms' && !e.vms.includes(toVmId('vm-0'));
-  await Promise.all(others.map(({until}) => until(without)));
+  await Promise.all(others.map(({until}) => until(lacksFirstVm)));
   await Promise.all(all.map(({task}) => task.stop()));
   t.is(first.task.counters.malformed, 0);
 });
--- a/packages/daemon/src/peers/peer_wiring.ts
+++ b/packages/daemon/src/peers/peer_wiring.ts
@@ -85,10 +85,10 @@
   /** Returns the `ip:port` on which another VM listens for callers. */
   findCallerAddress(id: VmId): string | undefined {
     const {endpoints, peers} = this.options;
-    const isIt = (entry: Pick<VmInfo, 'id'>) => entry.id === id;
+    const hasId = (entry: Pick<VmInfo, 'id'>) => entry.id === id;
     // The VM list lags behind: a VM that owns a step may not be on it yet.
     const entry =
-      endpoints.listVms().find(isIt) ?? peers.listMembers().find(isIt);
+      endpoints.listVms().find(hasId) ?? peers.listMembers().find(hasId);
     return entry?.callerAddress;
   }
 
--- a/packages/daemon/src/scheduling/__tests__/order_task.spec.ts
+++ b/packages/daemon/src/scheduling/__tests__/order_task.spec.ts
@@ -25,13 +25,13 @@
 const POLL_MS = 20;
 
 /** A log task that once reports a lease it holds as lost. */
-class DoubtingLogTask extends LogTask {
-  isSessionDoubted = false;
+class LeaseLossLogTask extends LogTask {
+  reportsLeaseLost = false;
 
   override holds(held: HeldLease): boolean {
-    const {isSessionDoubted} = this;
-    this.isSessionDoubted = false;
-    return !isSessionDoubted && super.holds(held);
+    const {reportsLeaseLost} = this;
+    this.reportsLeaseLost = false;
+    return !reportsLeaseLost && super.holds(held);
   }
 }
 
@@ -50,7 +50,7 @@
   const logClient = new HttpLogClient(log.address);
   const storeClient = new HttpWeightStoreClient(weightStore.address);
   const http = new Agent();
-  const task = new DoubtingLogTask(logClient, {
+  const task = new LeaseLossLogTask(logClient, {
     vm: toVmId('vm'),
     incarnation: toIncarnationId('1'),
     session: DEFAULT_SESSION_TIMING,
@@ -94,10 +94,15 @@
     while (engine.readWeightVersion() < version) await sleep(POLL_MS);
   };
   await publishAndAwaitLoad(2);
-  const before = task.state.leases.find(buildOrdersLeaseName(MODEL))?.fencing;
-  task.isSessionDoubted = true;
+  const fencingBefore = task.state.leases.find(
+    buildOrdersLeaseName(MODEL),
+  )?.fencing;
+  task.reportsLeaseLost = true;
   await publishAndAwaitLoad(3);
-  t.is(task.state.leases.find(buildOrdersLeaseName(MODEL))?.fencing, before);
+  t.is(
+    task.state.leases.find(buildOrdersLeaseName(MODEL))?.fencing,
+    fencingBefore,
+  );
 });
 
 function sleep(ms: number): Promise<void> {
--- a/packages/daemon/src/vm.ts
+++ b/packages/daemon/src/vm.ts
@@ -254,7 +254,7 @@
       await sleep(drainPollIntervalMs);
     }
     const appsLeft = this.apps.countInFlight();
-    await Promise.race([this.audit.leave(), sleep(finalAppendTimeoutMs)]);
+    await Promise.race([this.audit.closeChain(), sleep(finalAppendTimeoutMs)]);
     await Promise.race([this.log.closeSession(), sleep(finalAppendTimeoutMs)]);
     await this.stop();
     return {appsLeft, stepsHandedOver};
