--- a/packages/cli/src/__tests__/admin_commands.spec.ts
+++ b/packages/cli/src/__tests__/admin_commands.spec.ts
@@ -22,7 +22,7 @@
   return {section: out, token: err.split('\n')[1]};
 }
 
-/** Starts one VM and stand-ins; two teams have a token each. */
+/** Starts one VM and stand-ins, with one token for each of two teams. */
 async function createFixture(t: ExecutionContext) {
   const standIns = await startStandIns({
     model: 'hint-tutor',
--- a/packages/cli/src/__tests__/serve_signals.spec.ts
+++ b/packages/cli/src/__tests__/serve_signals.spec.ts
@@ -43,8 +43,8 @@
   t.is(await ended, 0);
 });
 
-// Guards against a second signal cutting the drain short: if the handler were
-// installed for one signal only, the next one would end the process at once.
+// Guards against a second signal ending the drain early: if the handler were
+// installed for one signal only, the next one would end the process immediately.
 test('a draining VM is not ended by another SIGTERM or SIGINT', async t => {
   const {pipe, child, ended, waitForText} = startServe(t);
   const write = await pipe.waitForReader();
--- a/packages/cli/src/cli_io.ts
+++ b/packages/cli/src/cli_io.ts
@@ -1,4 +1,6 @@
-/** The streams and environment of a command, which tests replace. */
+/**
+ * Gives commands access to the standard streams and the environment; tests replace it.
+ */
 
 export interface CliIo {
   readonly writeOut: (text: string) => void;
--- a/packages/cli/src/config_file.ts
+++ b/packages/cli/src/config_file.ts
@@ -1,4 +1,4 @@
-/** Reads a file with either process settings or operators' rules. */
+/** Reads and validates a file of either process settings or operators' rules. */
 
 import {readFile} from 'node:fs/promises';
 import type {ConfigProblem} from '@radishyoke/core/rules/config_problem';
--- a/packages/cli/src/main.ts
+++ b/packages/cli/src/main.ts
@@ -3,7 +3,7 @@
 
 import {captureSignals} from '@radishyoke/daemon/process_signals';
 
-// Only `serve` handles signals, to drain; other commands end by them as usual.
+// Only `serve` handles signals, in order to drain; they end other commands as usual.
 if (process.argv[2] === 'serve') captureSignals();
 const {runCli} = await import('./cli.js');
 const {createProcessIo} = await import('./cli_io.js');
--- a/packages/cli/src/report_command.ts
+++ b/packages/cli/src/report_command.ts
@@ -19,10 +19,12 @@
 import {StepTimeline, stepTimelineSchema} from './step_timeline.js';
 import {UsageError} from './usage_error.js';
 
-/** A step that took longer is drawn as late, ms; the users' routes give a step this long. */
+/**
+ * Duration above which a step is drawn as late, ms; the users' routes allow this long.
+ */
 const DUE_MS = 7500;
 
-/** A line of a run: its figures, and optionally its histograms and step timelines. */
+/** A JSON line of a run: figures, and optionally histograms and step timelines. */
 const runLineSchema = z.looseObject({
   metrics: ADMIN_ANSWERS.histograms.optional(),
   timelines: z.array(stepTimelineSchema).optional(),
--- a/packages/client/src/step_progress.ts
+++ b/packages/client/src/step_progress.ts
@@ -1,6 +1,6 @@
 /**
- * A trainer's progress in a step: the position read and the samples received. Storing
- * it together with the rollouts makes each rollout arrive exactly once.
+ * Tracks a trainer's progress in a step: its read position and the samples received. A
+ * trainer that stores it together with the rollouts receives each rollout exactly once.
  */
 
 import type {RolloutId} from '@radishyoke/shared/ids';
--- a/packages/daemon/src/__tests__/process_signals.spec.ts
+++ b/packages/daemon/src/__tests__/process_signals.spec.ts
@@ -2,9 +2,8 @@
 import test from 'ava';
 import {ProcessSignals} from '../process_signals.js';
 
-// Guards against a reload or stop request that is lost while a program loads.
-// 1. Signals arrive before there is a listener.
-// 2. The VM is created and listens.
+// Guards against a reload or stop request that is lost because its signal
+// arrives while the program is still loading.
 test('signals received before there is a listener are delivered in order', t => {
   const source = new EventEmitter();
   const signals = new ProcessSignals(source);
--- a/packages/daemon/src/__tests__/serve.spec.ts
+++ b/packages/daemon/src/__tests__/serve.spec.ts
@@ -13,9 +13,8 @@
 }
 
 // Guards against a stack trace or a hanging process when a VM is started twice.
-// 1. The administration port is in use, so the start throws halfway.
-// Cause: the error was not caught, and the tasks started before it kept
-// running.
+// The administration port is in use, so the start throws. If the error is not
+// caught, the tasks that were started before it keep running.
 test('a VM whose port is in use exits with the failure code', async t => {
   const dir = await mkdtemp(path.join(tmpdir(), 'radishyoke-serve-'));
   t.teardown(() => rm(dir, {recursive: true}));
--- a/packages/daemon/src/__tests__/step_faults.spec.ts
+++ b/packages/daemon/src/__tests__/step_faults.spec.ts
@@ -54,12 +54,9 @@
 ];
 
 // Guards against a step that ends incomplete, stalls, or delivers a rollout
-// twice.
-// 1. A trainer has the first rollout of its step; the others are being
-//    generated.
-// 2. The fault starts, and the step continues as far as it can.
-// Cause: a missing answer is treated as a refusal, or silence as a failure of
-// the engine.
+// twice. The fault starts when the trainer has the first rollout and the others
+// are being generated. The step fails if a missing answer is treated as a
+// refusal, or silence as a failure of the engine.
 for (const c of FAULT_CASES)
   test(`a step is complete and each rollout is delivered once: ${c.name}`, async t => {
     const deployment = await startDeployment(2);
--- a/packages/daemon/src/__tests__/vm.spec.ts
+++ b/packages/daemon/src/__tests__/vm.spec.ts
@@ -52,10 +52,10 @@
   t.is(rollouts.length, 12);
 });
 
-// Guards against a step that ends incomplete or delivers a rollout twice.
-// 1. The VM that owns the step crashes after four rollouts.
-// 2. The trainer connects to the other VM, which takes the step over.
-// Cause: only one process knew what was committed, delivered and acknowledged.
+// Guards against a step that ends incomplete or delivers a rollout twice. The
+// VM that owns the step crashes after four rollouts, and the trainer connects
+// to the other VM, which takes the step over. It must know what was committed,
+// delivered and acknowledged.
 test('another VM continues a step whose owner stopped', async t => {
   const deployment = await startDeployment(2);
   t.teardown(() => deployment.close());
@@ -77,9 +77,9 @@
   t.is(countDistinct(rollouts), 32);
 });
 
-// Guards against a non-idempotent request that runs twice.
-// 1. The app gets no answer and sends the request again to another VM.
-// Cause: each VM knew only the requests that it had received itself.
+// Guards against a non-idempotent request that runs twice: the app gets no
+// answer and sends the request again to another VM, which knows only the
+// requests that it received itself.
 test('a non-idempotent request with an id runs once across all VMs', async t => {
   const deployment = await startDeployment(2);
   t.teardown(() => deployment.close());
@@ -106,9 +106,8 @@
 });
 
 // Guards against failing calls after a VM is replaced during an outage of the
-// log.
-// 1. The log goes down; a VM is replaced and can not read the configuration.
-// Cause: the log was the only source of the configuration.
+// log. The new VM can not read the configuration from the log and must get it
+// from its peers.
 test('a VM that starts while the log is down gets its rules from peers', async t => {
   const deployment = await startDeployment(2);
   t.teardown(() => deployment.close());
@@ -123,11 +122,9 @@
 });
 
 // Guards against a request id that stays blocked for an hour although the
-// refusal said that the request had not run.
-// 1. No endpoint can be reached; the answer says that nothing ran.
-// 2. The caller sends the request again under the same id when endpoints are
-//    back.
-// Cause: the claim on the id outlived the refusal.
+// refusal said that the request had not run. No endpoint can be reached, so the
+// request is refused. When endpoints are back, the caller sends it again under
+// the same id; the claim on the id must not outlive the refusal.
 test('a refused request with an id can be sent again', async t => {
   const deployment = await startDeployment(1);
   t.teardown(() => deployment.close());
@@ -168,9 +165,9 @@
   t.deepEqual(calls.sort(), [0, 1]);
 });
 
-// Guards against requests that are cut off when a VM is replaced.
-// 1. A slow call is in flight when the VM is asked to drain.
-// Cause: the process ended immediately.
+// Guards against requests that are aborted when a VM is replaced: a slow call
+// is in flight when the VM is drained, and the process ends without waiting for
+// it.
 test('a draining VM finishes the requests in flight', async t => {
   const deployment = await startDeployment(1);
   t.teardown(() => deployment.close());
@@ -187,9 +184,9 @@
   t.is(report.appsLeft, 0);
 });
 
-// Guards against a step that stalls or loses samples when an engine crashes.
-// 1. An engine crashes after 150 tokens while it runs several samples.
-// Cause: a broken stream was treated as a finished or a lost sample.
+// Guards against a step that stalls or loses samples when an engine crashes
+// after 150 tokens while it runs several of them, because a broken stream is
+// treated as a finished or a lost sample.
 test('samples of a crashed engine are finished on other engines', async t => {
   const deployment = await startDeployment(1);
   t.teardown(() => deployment.close());
@@ -202,10 +199,8 @@
 });
 
 // Guards against a trainer that sees only a broken connection when its step is
-// too large.
-// 1. The body is over the limit; the VM stops reading and closes the
-//    connection.
-// Cause: the connection reset arrives before the refusal.
+// too large. The VM stops reading a body over the limit and closes the
+// connection; the connection reset must not arrive before the refusal.
 test('a body over the limit is refused with an answer', async t => {
   const deployment = await startDeployment(1);
   t.teardown(() => deployment.close());
--- a/packages/daemon/src/__tests__/vm_audit.spec.ts
+++ b/packages/daemon/src/__tests__/vm_audit.spec.ts
@@ -23,8 +23,8 @@
   return answer.records as Array<LoggedRecord<AuditBlock>>;
 }
 
-// Guards against an audit that has no entry for a rollout, or names other weights
-// than those that generated what the trainer received.
+// Guards against an audit that has no entry for a rollout, or names other
+// weights than those that generated what the trainer received.
 test('the audit of a step is complete and names what the trainer received', async t => {
   const deployment = await startDeployment(1);
   t.teardown(() => deployment.close());
@@ -58,10 +58,9 @@
   }
 });
 
-// Guards against an audit that shows one attempt for a request that had two.
-// 1. The first endpoint can not be reached; the request is sent to the other
-//    one.
-// Cause: only the last attempt was stored.
+// Guards against an audit that shows one attempt for a request that had two,
+// because only the last one is stored. One endpoint can not be reached, so some
+// requests are sent to it first and then to the other one.
 test('the audit of a request names every attempt and how it ended', async t => {
   const deployment = await startDeployment(1);
   t.teardown(() => deployment.close());
@@ -87,11 +86,9 @@
 });
 
 // Guards against an audit that does not say how an attempt ended whose engine
-// crashed, only that another attempt won.
-// 1. An engine crashes while it runs several samples; other engines continue
-//    them.
-// Cause: the entry was created from the log, which records only the winner's
-// end.
+// crashed, only that another attempt won. An engine crashes while it runs
+// several samples, and other engines continue them. The log alone does not
+// suffice for the entry, since it records only how the winner ended.
 test('the audit of a rollout names how the losing attempts ended', async t => {
   const deployment = await startDeployment(1);
   t.teardown(() => deployment.close());
--- a/packages/daemon/src/admin/admin_auth.ts
+++ b/packages/daemon/src/admin/admin_auth.ts
@@ -14,9 +14,12 @@
   readonly roles: readonly Role[];
 }
 
-/** Most hashes computed at once; each takes memory and a thread. */
+/**
+ * Maximum number of concurrent hash computations; each takes memory and a
+ * thread.
+ */
 const MAX_CONCURRENT_CHECKS = 2;
-/** Most checks that wait; further ones are refused. */
+/** Maximum number of waiting checks; further ones are refused. */
 const MAX_WAITING_CHECKS = 32;
 
 /** A hash that no token matches; checked for unknown names. */
@@ -25,7 +28,10 @@
 /** Checks tokens against the hashes in the settings. */
 export class Authenticator {
   private readonly tokens: ReadonlyMap<string, TokenSettings>;
-  /** SHA-256 of verified tokens by name; saves hashing them by scrypt again. */
+  /**
+   * SHA-256 digests of verified tokens by name, so that scrypt runs once per
+   * token.
+   */
   private readonly verifiedDigests = new Map<string, Buffer>();
   private readonly waitingChecks: Array<() => void> = [];
   private runningChecks = 0;
@@ -54,7 +60,10 @@
     return succeed({tokenName: name, team, roles});
   }
 
-  /** The token name in `header` if the settings define it, thus safe to log. */
+  /**
+   * Returns the token name in `header` if the settings define it. Only such a
+   * name is safe to log: any other text may be part of a secret.
+   */
   findTokenName(header: string | undefined): string | undefined {
     const name = readTokenName(header?.replace(/^Bearer /i, '') ?? '');
     return name !== undefined && this.tokens.has(name) ? name : undefined;
--- a/packages/daemon/src/admin/admin_backend.ts
+++ b/packages/daemon/src/admin/admin_backend.ts
@@ -23,8 +23,8 @@
 }
 
 /**
- * Lists and metrics cover all teams of the VM. The API removes the data of
- * other teams from its answers, so that a backend can not omit that check.
+ * Lists and metrics contain the data of all teams. The API, not the backend,
+ * removes the data of other teams from answers, so that no backend can omit it.
  */
 export abstract class AdminBackend {
   abstract readStatus(): AdminAnswer<'status'>;
--- a/packages/daemon/src/admin/admin_schema.ts
+++ b/packages/daemon/src/admin/admin_schema.ts
@@ -27,7 +27,9 @@
     state: z.enum(['live', 'leaving']),
     usable: z.boolean(),
     inFlight: count,
-    /** Most requests that this VM runs there at once; null for no bound. */
+    /**
+     * Maximum number of concurrent requests from this VM; null for no limit.
+     */
     limit: count.nullable(),
     weightVersion: count,
   })
--- a/packages/daemon/src/admin/admin_server.ts
+++ b/packages/daemon/src/admin/admin_server.ts
@@ -1,7 +1,7 @@
 /**
  * The listener of the administration API. Each request is first authenticated
- * by its token, which names a team; without a valid token the answer reveals
- * nothing, not even which paths exist.
+ * by its token, which belongs to a team. Without a valid token the answer
+ * reveals nothing, not even which paths exist.
  */
 
 import {createServer, IncomingMessage, Server, ServerResponse} from 'node:http';
@@ -43,7 +43,7 @@
 
 export type AdminSettings = Pick<Settings, 'tenants' | 'tokens' | 'admin'>;
 
-/** Longest body: fits a rule set with room for JSON escapes. */
+/** Maximum body size; fits the largest rule set with room for JSON escapes. */
 const MAX_BODY_BYTES = 524_288;
 const MAX_HEADER_BYTES = 8192;
 const MAX_CONNECTIONS = 128;
--- a/packages/daemon/src/admin/vm_admin_backend.ts
+++ b/packages/daemon/src/admin/vm_admin_backend.ts
@@ -49,7 +49,7 @@
 }
 
 const AUDIT_READ_TIMEOUT_MS = 5000;
-/** Most blocks read for one answer; the client continues from `next`. */
+/** Maximum number of blocks per answer; the client continues from `next`. */
 const MAX_AUDIT_BLOCKS = 200;
 const STEP_LEASE_PATTERN = /^step:([^/]+)\//;
 
--- a/packages/daemon/src/apps/app_api.ts
+++ b/packages/daemon/src/apps/app_api.ts
@@ -38,15 +38,18 @@
   'TRACE',
 ]);
 
-/** Longest body buffered for retries; a longer one is sent only once. */
+/**
+ * Maximum size of a body that is buffered for retries; a longer one is sent
+ * once.
+ */
 const maxReplayBytes = 65_536;
-/** Longest time without data from an endpoint within one request, ms. */
+/** Maximum time without data from an endpoint within one request, ms. */
 const progressTimeoutMs = 10_000;
 const requestIdPattern = /^[\x21-\x7e]{1,200}$/;
 /** Assumed bytes per token when the prompt tokens of a body are estimated. */
 const bytesPerToken = 4;
 
-/** One finished request, for metrics and the audit. */
+/** One ended request, for metrics and the audit. */
 export interface AppRecord {
   readonly caller: Caller;
   readonly requestId: RequestId;
--- a/packages/daemon/src/apps/app_runner.ts
+++ b/packages/daemon/src/apps/app_runner.ts
@@ -18,7 +18,7 @@
   readonly workId: string;
   readonly req: IncomingMessage;
   readonly res: ServerResponse;
-  /** The complete body, or undefined where it is streamed from `req`. */
+  /** The complete body, or undefined if it is streamed from `req`. */
   readonly body: Buffer | undefined;
   /** Headers of the answer that name the rule and configuration version. */
   readonly answerHeaders: Readonly<Record<string, string>>;
@@ -112,8 +112,8 @@
   private onAttemptEnd(attempt: number, end: ForwardEnd): void {
     const attemptEnd = end.kind === 'failed' ? end.failure : end.kind;
     if (!this.closeAttempt(attempt, attemptEnd)) return;
-    // Once the caller has the head of an answer, no other attempt can continue
-    // it. Closing the connection shows the caller that the answer is
+    // When the caller has received the head of an answer, no other attempt can
+    // continue it. Closing the connection shows the caller that the answer is
     // incomplete.
     const {workId, dispatcher, res} = this.options;
     if (end.kind === 'failed' && end.answered) {
--- a/packages/daemon/src/audit/audit_recorder.ts
+++ b/packages/daemon/src/audit/audit_recorder.ts
@@ -1,4 +1,7 @@
-/** Creates audit entries from events on this VM. */
+/**
+ * Creates audit entries for the requests, rollouts and configurations of this
+ * VM.
+ */
 
 import type {
   AuditAttempt,
@@ -26,7 +29,7 @@
 
 type CommitRecord = Extract<StateRecord, {kind: 'samples_committed'}>;
 
-/** Audits requests, rollouts and configurations; one instance per VM. */
+/** One instance per VM. */
 export class AuditRecorder {
   /** Attempts of samples without a committed winner, by step and sample key. */
   private readonly attempts = new Map<string, Map<string, AuditAttempt[]>>();
--- a/packages/daemon/src/audit/audit_task.ts
+++ b/packages/daemon/src/audit/audit_task.ts
@@ -19,20 +19,30 @@
 export interface AuditTaskConfig {
   readonly vm: VmId;
   readonly incarnation: IncarnationId;
-  /** Most entries that wait for the log; further ones are dropped. */
+  /**
+   * Maximum number of entries that wait for the log; further ones are dropped.
+   */
   readonly maxWaiting: number;
 }
 
-/** About 5 MB: over 30 minutes of log outage at 10 entries a second. */
+/**
+ * About 5 MB, enough for a log outage of over 30 minutes at 10 entries per
+ * second.
+ */
 export const DEFAULT_MAX_WAITING = 20_000;
 const MAX_ENTRIES_PER_BLOCK = 500;
-/** Most blocks handed to the writer that are not yet in the log. */
+/**
+ * Maximum number of blocks passed to the writer that are not in the log yet.
+ */
 const MAX_BLOCKS_IN_FLIGHT = 2;
 const MIN_FLUSH_MS = 1000;
-/** Flush interval in the VM's append intervals: a third of its appends. */
+/**
+ * Minimum flush interval in append intervals of this VM, so that the audit uses
+ * at most a third of the VM's appends.
+ */
 const SHARES_PER_FLUSH = 3;
 const ANCHOR_INTERVAL_MS = 60_000;
-/** Most heads of other VMs' chains included in one block. */
+/** Maximum number of heads of other VMs' chains per block. */
 const MAX_WITNESSED_PER_BLOCK = 8;
 
 interface Gap {
@@ -90,7 +100,10 @@
     this.gap.dropped++;
   }
 
-  /** Writes all waiting entries and closes the chain; resolves once logged. */
+  /**
+   * Writes all waiting entries and closes the chain; resolves when they are in
+   * the log.
+   */
   async closeChain(): Promise<void> {
     clearTimeout(this.timer);
     this.stopped = true;
@@ -101,7 +114,9 @@
     await Promise.all(blocks);
   }
 
-  /** Stops at once; waiting entries are lost and the chain stays unclosed. */
+  /**
+   * Stops immediately; waiting entries are lost and the chain is not closed.
+   */
   stop(): void {
     this.stopped = true;
     clearTimeout(this.timer);
--- a/packages/daemon/src/callers/caller.ts
+++ b/packages/daemon/src/callers/caller.ts
@@ -1,4 +1,7 @@
-/** Steps common to all caller requests: identification, facts and headers. */
+/**
+ * Functions that the APIs for trainers and apps share: they identify the
+ * caller, read the facts for rules and create answer headers.
+ */
 
 import type {IncomingMessage} from 'node:http';
 import type {RuleFacts} from '@radishyoke/core/rules/rule';
@@ -42,7 +45,7 @@
   return succeed({tenant, team});
 }
 
-/** The facts of `req` that rules are matched against. */
+/** Returns the facts of `req` that rules are matched against. */
 export function readRuleFacts(
   req: IncomingMessage,
   tenant: TenantId,
@@ -59,7 +62,7 @@
   };
 }
 
-/** Answer headers that name the rule and the configuration version. */
+/** Creates answer headers that name the rule and the configuration version. */
 export function createRouteHeaders(
   route: Route,
 ): Readonly<Record<string, string>> {
--- a/packages/daemon/src/callers/caller_server.ts
+++ b/packages/daemon/src/callers/caller_server.ts
@@ -16,13 +16,18 @@
   readonly steps: StepApi;
   readonly apps: AppApi;
   readonly logger: Logger;
-  /** The error with which this VM refuses requests, if it does. */
+  /** Returns the error with which this VM refuses all requests, if it does. */
   readonly findRefusal: () => RadishyokeError | undefined;
-  /** Why this VM is not ready, if so; a drain sets it before `findRefusal`. */
+  /**
+   * Returns why this VM is not ready, if so. A drain makes it unready some time
+   * before it refuses requests.
+   */
   readonly findReadinessFailure: () => RadishyokeError | undefined;
 }
 
-/** Time a connection may be idle; longer than load balancers keep it open. */
+/**
+ * Maximum idle time of a connection, ms; longer than that of load balancers.
+ */
 const keepAliveTimeoutMs = 75_000;
 
 export class CallerServer {
--- a/packages/daemon/src/enable_roarr.ts
+++ b/packages/daemon/src/enable_roarr.ts
@@ -1,6 +1,6 @@
 /**
- * Enables `roarr`, which reads this variable once when it is loaded and drops
- * every line without it. This module must therefore be imported first.
+ * Sets the environment variable without which `roarr` drops every line. It is
+ * read when `roarr` is loaded, so this module must be imported first.
  */
 
 process.env['ROARR_LOG'] ??= 'true';
--- a/packages/daemon/src/log/__tests__/log_task.spec.ts
+++ b/packages/daemon/src/log/__tests__/log_task.spec.ts
@@ -66,8 +66,8 @@
 // Guards against a request that runs twice.
 // 1. A VM claims the request id; the log stores the record, but its answer is
 //    lost.
-// 2. The VM treats that as a failure and drops the claim, or takes its own
-//    second copy for the claim of another VM.
+// 2. The VM treats that as a failure and drops the claim, or mistakes its own
+//    repeated copy for the claim of another VM.
 test('an append whose answer was lost takes effect once', async t => {
   const {log, tasks} = await createVms(t, ['a', 'b']);
   const [a, b] = tasks as [LogTask, LogTask];
@@ -136,7 +136,7 @@
 // 1. A request id is claimed and rules are published.
 // 2. The log's retention drops both records.
 // 3. A VM starts, reads the remaining records, and has neither.
-test('a VM that starts after retention dropped records holds the same state', async t => {
+test('a VM that starts after retention dropped records restores the same state from checkpoints', async t => {
   const {log, tasks} = await createVms(t, ['a']);
   const [a] = tasks as [LogTask];
   const team = toTeamId('k');
--- a/packages/daemon/src/log/event_source.ts
+++ b/packages/daemon/src/log/event_source.ts
@@ -1,4 +1,4 @@
-/** A `most` stream whose owner emits the events. */
+/** Provides a `most` stream whose events are emitted by its owner. */
 
 import {type Scheduler, type Sink, Stream} from 'most';
 
--- a/packages/daemon/src/log/lease_holder.ts
+++ b/packages/daemon/src/log/lease_holder.ts
@@ -26,7 +26,7 @@
   ) => Promise<Result<JudgedRecord<StateRecord>>>;
 }
 
-/** One instance per VM. */
+/** Manages the leases and the session of one VM. */
 export class LeaseHolder {
   private readonly session: SessionTracker;
   /**
--- a/packages/daemon/src/log/log_task.ts
+++ b/packages/daemon/src/log/log_task.ts
@@ -115,7 +115,7 @@
 type StateWriter = LogWriter<StateRecord, JudgedRecord<StateRecord>>;
 type ConfigWriter = LogWriter<ConfigRecord, ConfigOutcome>;
 
-/** One instance per VM. */
+/** Reads and writes the streams `state` and `config` for one VM. */
 export class LogTask {
   /** This VM's share of the append rate, over all streams. */
   readonly budget: AppendBudget;
@@ -213,8 +213,8 @@
   }
 
   /**
-   * Stops at once and lets the leases expire. For a clean end, call
-   * `closeSession` first.
+   * Stops immediately; this VM's leases are held until they expire. To release
+   * them, call `closeSession` first.
    */
   stop(): void {
     clearInterval(this.timer);
@@ -242,7 +242,7 @@
     this.budget.setAppendsPerSecond(share);
   }
 
-  /** Appends a record; resolves when it has been read back and judged. */
+  /** Appends a record; resolves with its verdict when it has been read back. */
   append(body: StateBody): Promise<Result<JudgedRecord<StateRecord>>> {
     this.stateFollower.skipPause();
     return this.stateWriter.append(body);
@@ -332,7 +332,8 @@
   }
 
   /**
-   * Assesses whether this VM's configuration is known to be the one in force.
+   * Assesses whether this VM can be sure that its configuration is the current
+   * one of the deployment.
    */
   assessConfigFreshness({
     otherVmCount,
@@ -401,8 +402,8 @@
           snapshot: snapshot as ConfigSnapshot,
         });
       },
-      // Configurations never expire, so a lost one can not be replaced by an
-      // empty state.
+      // Configurations never expire, so starting empty would lose those in
+      // force.
       startEmpty: () => false,
     };
   }
--- a/packages/daemon/src/log/session_tracker.ts
+++ b/packages/daemon/src/log/session_tracker.ts
@@ -24,8 +24,9 @@
 /**
  * Measures on the monotonic clock from the moment a renewal is passed to the
  * writer. The log accepts the record later than that, so the session lasts at
- * least as long by the log's clock. A VM that was paused or cut off from the
- * log sees here that other VMs may hold its leases by now.
+ * least as long by the log's clock. A VM that was paused or lost its connection
+ * to the log finds its session invalid here, since other VMs may have claimed
+ * its leases.
  */
 export class SessionTracker {
   private renewedAtMs = -Infinity;
--- a/packages/daemon/src/log/stream_follower.ts
+++ b/packages/daemon/src/log/stream_follower.ts
@@ -110,8 +110,8 @@
   }
 
   /**
-   * Reads without delay, because a caller is waiting for a record to be read
-   * back.
+   * Ends the pause between reads early because a caller is waiting for a record
+   * to be read back.
    */
   skipPause(): void {
     this.reader.skipPause();
@@ -141,7 +141,7 @@
   /**
    * Estimates the current log time from the last record and the time since it
    * was read. During an outage no session can be renewed, so by the log's time
-   * all of them expire, and the VMs would claim leases of healthy holders once
+   * all sessions expire, and VMs would claim the leases of healthy holders when
    * the log is back. The estimate therefore does not advance while reads fail
    * and for `graceMs` afterwards, in which holders renew.
    */
--- a/packages/daemon/src/logger.ts
+++ b/packages/daemon/src/logger.ts
@@ -15,8 +15,8 @@
 };
 
 /**
- * Fields of a log line. Lines about a request carry all named fields that are
- * known.
+ * Fields of a log line. A line about a request contains every named field whose
+ * value has been determined.
  */
 export interface LogFields {
   readonly requestId?: string;
--- a/packages/daemon/src/peers/__tests__/peer_task.spec.ts
+++ b/packages/daemon/src/peers/__tests__/peer_task.spec.ts
@@ -26,7 +26,7 @@
 interface TaskFixture {
   readonly task: PeerTask;
   readonly events: PeerEvent[];
-  /** Resolves once any past or future event passes `test`. */
+  /** Resolves once any past or future event satisfies `matches`. */
   readonly until: (matches: (event: PeerEvent) => boolean) => Promise<void>;
 }
 
@@ -101,8 +101,9 @@
   t.is(first.task.counters.malformed, 0);
 });
 
-// A VM stops without leaving, and a new process starts under the same name. The
-// other VMs must drop the old load, or its endpoints would look busy forever.
+// Guards against endpoints that look busy forever. A VM stops without
+// announcing it, and a new process starts under the same name; the other VMs
+// must drop the load that the old process reported.
 test('the load of a stopped VM is dropped and its restart joins again', async t => {
   const first = await createTask(0);
   const second = await createTask(1, {seeds: [first.address]});
--- a/packages/daemon/src/peers/peer_links.ts
+++ b/packages/daemon/src/peers/peer_links.ts
@@ -48,7 +48,7 @@
     if (opening.waiting.length > MAX_WAITING_MESSAGES) opening.waiting.shift();
   }
 
-  /** Connects to an address of which the VM is not known yet. */
+  /** Connects to the VM at an address before its id is known. */
   dial(address: string): void {
     if (this.dialledLinks.has(address)) return;
     this.dialledLinks.set(address, openPeerLink(address, this.options, this));
--- a/packages/daemon/src/peers/peer_task.ts
+++ b/packages/daemon/src/peers/peer_task.ts
@@ -20,7 +20,7 @@
 import {createMailbox, Mailbox} from '../mailbox.js';
 import {PeerLinks} from './peer_links.js';
 
-/** What the rest of the daemon receives. */
+/** An event that the peer task reports to the rest of the daemon. */
 export type PeerEvent =
   /** Serving VMs, including this one unless it is leaving. */
   | {readonly kind: 'vms'; readonly vms: readonly VmId[]}
@@ -35,7 +35,7 @@
   /** Highest next offset of stream `config` that any VM has reported. */
   | {readonly kind: 'config_seen'; readonly next: number};
 
-/** What the rest of the daemon may publish to the other VMs. */
+/** An update that the rest of the daemon publishes to the other VMs. */
 export type PeerUpdate = Extract<
   MembershipEvent,
   {
@@ -68,7 +68,7 @@
 
 const TICK_INTERVAL_MS = 100;
 
-/** One instance per VM. */
+/** Connects one VM with the others. */
 export class PeerTask {
   readonly counters = new PeerCounters();
   private readonly mailbox: Mailbox<PeerEvent> = createMailbox();
--- a/packages/daemon/src/process_signals.ts
+++ b/packages/daemon/src/process_signals.ts
@@ -1,6 +1,6 @@
 /**
- * Captures the signals of a supervisor from the first statement of a program on
- * and passes them to the code that runs the VM.
+ * Captures the signals of a supervisor from the first statement of a program
+ * onwards and passes them to the code that runs the VM.
  *
  * A signal without a handler ends the process. A VM that has just started would
  * end when its platform signals changed settings, and callers would miss it
--- a/packages/daemon/src/rule_registry.ts
+++ b/packages/daemon/src/rule_registry.ts
@@ -91,10 +91,10 @@
 
   /**
    * Lists the groups that a configuration defines by endpoint id. An endpoint
-   * is in the same group for all teams. If every team could list it, one team
-   * could move it out of the group that another team's rules name, whose
-   * requests would then fail with `no_endpoint`. So only the platform team's
-   * lists are used, or those of the only team.
+   * is in the same group for all teams. If every team could assign endpoints,
+   * one team could move an endpoint out of a group that another team's rules
+   * use, and the other team's requests would fail with `no_endpoint`. So only
+   * the groups of the platform team are used, or those of the only team.
    */
   listGroups(): readonly RuleGroup[] {
     const team = this.platformTeam ?? findOnly(new Set(this.tenants.values()));
--- a/packages/daemon/src/scheduling/__tests__/order_task.spec.ts
+++ b/packages/daemon/src/scheduling/__tests__/order_task.spec.ts
@@ -24,7 +24,7 @@
 const MODEL = 'tutor';
 const POLL_MS = 20;
 
-/** A log task that once reports a lease it holds as lost. */
+/** A log task that on request reports a held lease as lost, once. */
 class LeaseLossLogTask extends LogTask {
   reportsLeaseLost = false;
 
@@ -35,12 +35,12 @@
   }
 }
 
-// Guards against weight orders stopping for good, so that every rollout is too
-// old and no step completes. The VM that holds the lease on orders loses its
-// log connections, and by its own clock its session may have expired. It drops
-// its lease, reconnects with the session renewed in time, and must not take the
-// holder named in the log, which is itself, for another VM.
-test('a VM that doubted its session continues to order weights', async t => {
+// Guards against weight orders stopping permanently, after which every rollout
+// is too old and no step completes. The VM that holds the lease on orders loses
+// its log connections and must assume that its session expired. In fact the
+// session was renewed in time, so the log still names this VM as the holder. It
+// must not mistake that entry for the lease of another VM.
+test('a VM that wrongly assumed its session expired continues to order weights', async t => {
   const platform = await Promise.all([
     startFakeLog(),
     startFakeWeightStore(),
--- a/packages/daemon/src/scheduling/dispatcher.ts
+++ b/packages/daemon/src/scheduling/dispatcher.ts
@@ -103,7 +103,7 @@
     this.post({kind: 'enqueue', work});
   }
 
-  /** Takes over a work item whose first attempt already runs on `endpoint`. */
+  /** Adds a work item whose first attempt already runs on `endpoint`. */
   adopt(work: WorkItem, runner: WorkRunner, endpoint: EndpointId): void {
     this.runners.set(work.id, runner);
     this.recordSubmission(work, adoptedAttempt);
@@ -131,7 +131,7 @@
     return this.endpoints.get(id);
   }
 
-  /** The number of attempts that this VM has running, by endpoint. */
+  /** Returns the number of this VM's running attempts by endpoint. */
   countInFlight(): ReadonlyMap<EndpointId, number> {
     return this.inFlight;
   }
--- a/packages/daemon/src/scheduling/endpoint_task.ts
+++ b/packages/daemon/src/scheduling/endpoint_task.ts
@@ -62,8 +62,8 @@
   }
 
   /**
-   * Sends `id` no new work from this VM, as if the VM list showed it as
-   * leaving. Returns whether the endpoint is known.
+   * Stops sending new work from this VM to the endpoint `id`, as if the VM list
+   * showed it as leaving. Returns whether the VM list contains it.
    */
   drain(id: EndpointId): boolean {
     if (!this.endpoints.some(endpoint => endpoint.id === id)) return false;
--- a/packages/daemon/src/settings/settings.ts
+++ b/packages/daemon/src/settings/settings.ts
@@ -1,7 +1,7 @@
 /**
- * The settings of one process, read from INI and validated completely before
- * any port opens: a wrong value would otherwise fail later and in another
- * place.
+ * Reads the settings of one process from an INI file. All of them are validated
+ * before any port opens, since a wrong value would otherwise cause a failure
+ * later and elsewhere.
  */
 
 import {readFile} from 'node:fs/promises';
@@ -72,7 +72,7 @@
     readonly log: string;
     readonly vmList: string;
     readonly weightStore: string;
-    /** Appends per second that the log grants to the whole deployment. */
+    /** Appends per second that the log permits to all VMs together. */
     readonly logAppendsPerSecond: number;
     readonly logRetentionMs: number;
     readonly weightFetchesPerSecond: number;
--- a/packages/daemon/src/settings/settings_change.ts
+++ b/packages/daemon/src/settings/settings_change.ts
@@ -1,6 +1,6 @@
 /**
- * The outcome of a settings reload. Settings are fixed while a process runs, so
- * a change is only logged and applies from the next start.
+ * Describes the outcome of a settings reload. A running process keeps its
+ * settings, so a change is only logged and applies from the next start.
  */
 
 /** Describes for the log whether a reloaded settings file differs. */
--- a/packages/daemon/src/steps/step_api.ts
+++ b/packages/daemon/src/steps/step_api.ts
@@ -226,7 +226,7 @@
     const address = this.options.findCallerAddress(owner);
     const {forwardedBy} = HEADERS;
     // Two VMs that each consider the other the owner would forward a request
-    // back and forth. One hop is enough once both have read the log.
+    // back and forth. A single hop suffices when both have read the log.
     if (!address || readSingleHeader(call.req, forwardedBy)) {
       return createError('not_owner', undefined, retry);
     }
--- a/packages/daemon/src/steps/step_directory.ts
+++ b/packages/daemon/src/steps/step_directory.ts
@@ -1,6 +1,6 @@
 /**
- * The steps that this VM owns. Opens steps in the log, claims their leases, and
- * takes over steps that have no owner.
+ * Manages the steps that this VM owns: opens steps in the log, claims their
+ * leases, and takes over steps that have no owner.
  */
 
 import type {Dispatcher as HttpDispatcher} from 'undici';
@@ -157,8 +157,8 @@
   }
 
   /**
-   * Runs one claim per step at a time, since a second one would only waste an
-   * append.
+   * Runs one claim per step at a time, since a concurrent one would only waste
+   * an append.
    */
   private claim(ledger: StepLedger): Promise<Result<StepLocation>> {
     const pending = this.pendingClaims.get(ledger.key);
--- a/packages/daemon/src/steps/step_record_writer.ts
+++ b/packages/daemon/src/steps/step_record_writer.ts
@@ -37,7 +37,7 @@
   readonly log: LogTask;
   /** Called when the log has accepted these winners. */
   readonly onCommitted: (samples: readonly CommittedSample[]) => void;
-  /** Called when these could not be appended. */
+  /** Called when these winners could not be appended. */
   readonly onRefused: (samples: readonly SampleCommit[]) => void;
   /** Called when the log shows that the step has a newer owner. */
   readonly onSuperseded: () => void;
--- a/packages/daemon/src/steps/step_runs.ts
+++ b/packages/daemon/src/steps/step_runs.ts
@@ -1,6 +1,4 @@
-/**
- * The samples of a step that are running at its owner, each with its runner.
- */
+/** Starts, tracks and stops the running samples of a step at its owner. */
 
 import type {Dispatcher as HttpDispatcher} from 'undici';
 import {computeDigest, computePrefixKey} from '@radishyoke/core/ledger/digest';
--- a/packages/daemon/src/steps/step_stream.ts
+++ b/packages/daemon/src/steps/step_stream.ts
@@ -42,8 +42,9 @@
   }
 
   private sendHeartbeat(): void {
-    // A reader that does not read would make this process buffer every rollout
-    // of the step. It is disconnected and resumes from its cursor later.
+    // For a trainer that does not read, this process would have to buffer every
+    // rollout of the step. So it is disconnected; it can resume from its
+    // cursor.
     const blockedMs = Date.now() - (this.blockedSinceMs ?? Date.now());
     if (blockedMs > this.slowReaderTimeoutMs) {
       this.res.destroy();
--- a/packages/daemon/src/vm.ts
+++ b/packages/daemon/src/vm.ts
@@ -40,7 +40,7 @@
 const connectionsPerEndpoint = 512;
 const connectTimeoutMs = 1000;
 const drainPollIntervalMs = 50;
-/** Longest wait for each of the final appends of a drain, ms. */
+/** Maximum wait for each of the final appends of a drain, ms. */
 const finalAppendTimeoutMs = 2000;
 
 export interface VmOptions {
@@ -53,7 +53,9 @@
   readonly requestDrain?: () => void;
 }
 
-/** What was unfinished when a VM stopped: app requests and open steps. */
+/**
+ * Number of app requests and open steps that were unfinished when a VM stopped.
+ */
 export interface DrainReport {
   readonly appsLeft: number;
   readonly stepsHandedOver: number;
@@ -260,7 +262,10 @@
     return {appsLeft, stepsHandedOver};
   }
 
-  /** Stops at once as a crash would, except that it closes its sockets. */
+  /**
+   * Stops without releasing leases or closing the session, as a crash would,
+   * but closes all sockets.
+   */
   async stop(): Promise<void> {
     this.orders.stop();
     clearInterval(this.idleTimer);
--- a/packages/daemon/src/vm_metrics.ts
+++ b/packages/daemon/src/vm_metrics.ts
@@ -1,14 +1,17 @@
-/** Records the events of a VM in its histograms and counters. */
+/**
+ * Records what happens on a VM in its metrics and keeps recent requests for dry
+ * runs of rules.
+ */
 
-import {MetricRegistry} from '@radishyoke/core/metrics/metrics';
 import {RequestRecorder} from '@radishyoke/core/audit/recorded_request';
+import {MetricRegistry} from '@radishyoke/core/metrics/metrics';
 import type {RuleFacts} from '@radishyoke/core/rules/rule';
 import type {SampleOutput} from '@radishyoke/core/steps/step_message';
 import type {StepLedger} from '@radishyoke/core/steps/step_ledger';
 import type {Result} from '@radishyoke/shared/result';
 import {measureStaleness} from '@radishyoke/shared/rollout';
 import type {AppRecord} from './apps/app_api.js';
-import type {FirstOutput, AttemptStart} from './scheduling/dispatcher.js';
+import type {AttemptStart, FirstOutput} from './scheduling/dispatcher.js';
 import type {Route} from './rule_registry.js';
 import type {StepEnd} from './steps/step_task.js';
 
@@ -19,7 +22,7 @@
   readonly registry = new MetricRegistry();
   readonly recorder = new RequestRecorder();
 
-  /** Time for which each step's trainer has waited. */
+  /** Time for which the trainer of each step has waited for rollouts, ms. */
   private readonly idleMsByStep = new Map<string, number>();
 
   /** Records the result of a rule lookup. */
@@ -88,8 +91,8 @@
   }
 
   /**
-   * Records an ended step. `logNowMs` is log time, as is the time of the
-   * opening.
+   * Records a step that ended at this VM. `logNowMs` is log time, as is the
+   * step's `openedAtMs`.
    */
   recordStepEnd(ledger: StepLedger, end: StepEnd, logNowMs: number): void {
     const idleMs = this.idleMsByStep.get(ledger.key) ?? 0;
--- a/packages/stores/src/__tests__/decoder_fuzz.spec.ts
+++ b/packages/stores/src/__tests__/decoder_fuzz.spec.ts
@@ -94,11 +94,11 @@
   `HTTP/1.1 200 OK\r\nx: ${'y'.repeat(100_000)}\r\n\r\n`,
 ];
 
-// The server at the log's address may not be the log, or its response may be cut off.
+// The server at the log's address may not be the log, or its response may be truncated.
 // The client must neither throw nor wait forever, nor treat an append as refused that a
 // log behind that server may have accepted.
 for (const bytes of BROKEN_ANSWERS)
-  test(`an answer of ${JSON.stringify(bytes.slice(0, 70))} is a failure`, async t => {
+  test(`a broken answer is a failure: ${JSON.stringify(bytes.slice(0, 70))}`, async t => {
     const server = net.createServer(socket => {
       socket.on('error', () => {});
       socket.once('data', () => socket.end(bytes, 'latin1'));
--- a/packages/stores/src/__tests__/http_log_client.spec.ts
+++ b/packages/stores/src/__tests__/http_log_client.spec.ts
@@ -32,18 +32,21 @@
 const BROKEN_PAGES: ReadonlyArray<readonly [name: string, body: unknown]> = [
   ['no JSON', undefined],
   ['no records', {oldest: 0, next: 6}],
-  ['a hole', {oldest: 0, next: 8, records: [createRecord(5), createRecord(7)]}],
+  ['a gap', {oldest: 0, next: 8, records: [createRecord(5), createRecord(7)]}],
   [
     'a record twice',
     {oldest: 0, next: 7, records: [createRecord(5), createRecord(5)]},
   ],
-  ['not what was asked for', {oldest: 0, next: 5, records: [createRecord(4)]}],
+  [
+    'another offset than requested',
+    {oldest: 0, next: 5, records: [createRecord(4)]},
+  ],
   ['next skips a record', {oldest: 0, next: 7, records: [createRecord(5)]}],
   ['a negative offset', {oldest: -1, next: 5, records: []}],
 ];
 
 for (const [name, body] of BROKEN_PAGES)
-  test(`a page is refused as a whole: ${name}`, t => {
+  test(`an invalid page is refused completely: ${name}`, t => {
     const result = decodeReadAnswer({kind: 'answered', status: 200, body}, 5);
     t.false(result.ok);
   });
--- a/packages/stores/src/__tests__/log_client_contract.ts
+++ b/packages/stores/src/__tests__/log_client_contract.ts
@@ -37,7 +37,7 @@
 }
 
 const APPEND_CASES: readonly AppendCase[] = [
-  {name: 'calm', apply: () => {}, expected: 'appended', records: 1},
+  {name: 'no fault', apply: () => {}, expected: 'appended', records: 1},
   {
     name: 'outage',
     apply: setFault({kind: 'outage'}),
--- a/packages/stores/src/append_budget.ts
+++ b/packages/stores/src/append_budget.ts
@@ -1,4 +1,6 @@
-/** A VM's share of the append rate that the platform's log permits. */
+/**
+ * Limits the appends of a VM to its share of the rate that the platform's log permits.
+ */
 
 /** Appends that may be made without waiting after a pause. */
 const BURST_APPENDS = 4;
--- a/packages/stores/src/call_options.ts
+++ b/packages/stores/src/call_options.ts
@@ -1,4 +1,4 @@
-/** Timeout and cancellation of a call to a platform service. */
+/** Options for the timeout and cancellation of a call to a platform service. */
 
 export interface CallOptions {
   /** The call fails after this time plus the time that the server is asked to wait. */
--- a/packages/stores/src/vm_list_client.ts
+++ b/packages/stores/src/vm_list_client.ts
@@ -1,4 +1,4 @@
-/** Access to the platform's list of VMs and endpoints. */
+/** The operations on the platform's list of VMs and endpoints that the service uses. */
 
 import type {VmList} from '@radishyoke/shared/endpoint';
 import type {Result} from '@radishyoke/shared/result';
--- a/packages/stores/src/weight_store_client.ts
+++ b/packages/stores/src/weight_store_client.ts
@@ -1,6 +1,6 @@
 /**
- * Lists versions in the weight store; the weights themselves are fetched by the
- * engines.
+ * The operations on the platform's weight store that the service uses. Engines
+ * fetch the weights themselves.
  */
 
 import type {Result} from '@radishyoke/shared/result';
