--- a/packages/core/src/accounts/__tests__/account_directory.spec.ts
+++ b/packages/core/src/accounts/__tests__/account_directory.spec.ts
@@ -94,11 +94,13 @@
   const key = fc.constantFrom('k0', 'k1', 'k2', 'k3', 'k4');
   const list = fc.uniqueArray(key, {maxLength: 5});
   fc.assert(
-    fc.property(fc.array(list, {minLength: 1}), key, (versions, asked) => {
+    fc.property(fc.array(list, {minLength: 1}), key, (versions, requested) => {
       const newest = versions.at(-1)!;
       const accounts = newest.map(each => ({name: `of ${each}`, keys: [each]}));
-      const expected = newest.includes(asked) ? `of ${asked}` : 'refused';
-      t.is(admit(asked, false, 'current', accounts), expected);
+      const expected = newest.includes(requested)
+        ? `of ${requested}`
+        : 'refused';
+      t.is(admit(requested, false, 'current', accounts), expected);
     }),
     {seed: 7, numRuns: 300},
   );
--- a/packages/core/src/batches/__tests__/batch_state.spec.ts
+++ b/packages/core/src/batches/__tests__/batch_state.spec.ts
@@ -103,9 +103,9 @@
   log.apply(listResult('b0', RESULT));
   log.apply({kind: 'ended', batchId: 'b0'});
   const state = log.get('b0');
-  const known = state.items.get('g0a')!;
+  const storedItem = state.items.get('g0a')!;
   const items = new Map(state.items);
-  items.set('g0a', {...known, result: RESULT});
+  items.set('g0a', {...storedItem, result: RESULT});
   const scheduler = new BatchScheduler({tokensPerEvent: 1, runPrefix: 'next'});
   scheduler.setEngines([createEngine('e0')]);
   scheduler.openBatch({...state, items}, createTerms());
--- a/packages/core/src/batches/__tests__/transcript.spec.ts
+++ b/packages/core/src/batches/__tests__/transcript.spec.ts
@@ -2,14 +2,14 @@
 import {Transcript} from '../transcript.js';
 import {createEvent} from './batch_fixtures.js';
 
-function createText(ids: readonly number[], run: string): Transcript {
-  const text = new Transcript();
-  for (const id of ids) text.append(createEvent(id, run));
-  return text;
+function createTranscript(ids: readonly number[], run: string): Transcript {
+  const transcript = new Transcript();
+  for (const id of ids) transcript.append(createEvent(id, run));
+  return transcript;
 }
 
 test('an event that does not follow the last one is rejected', t => {
-  const text = createText([4, 5], 'a');
+  const text = createTranscript([4, 5], 'a');
   t.false(text.append(createEvent(5, 'a')));
   t.false(text.append(createEvent(7, 'a')));
   t.true(text.append(createEvent(6, 'a')));
@@ -21,7 +21,7 @@
 // 2. Both store their events, with the same ids.
 // Events were joined by id alone.
 test('events of a run are joined only to the output that the run resumed', t => {
-  const text = createText([1, 2, 3], 'first');
+  const text = createTranscript([1, 2, 3], 'first');
   t.true(text.join('first', [createEvent(4, 'a'), createEvent(5, 'a')]));
   t.false(text.join('b', [createEvent(6, 'b')]));
   t.is(text.lastEventId, 5);
@@ -34,7 +34,7 @@
 });
 
 test('events that start the output replace the stored ones', t => {
-  const text = createText([1, 2, 3], 'old');
+  const text = createTranscript([1, 2, 3], 'old');
   t.true(text.join(undefined, [createEvent(1, 'new')]));
   t.is(text.events.length, 1);
 });
@@ -51,7 +51,7 @@
 });
 
 test('output is complete until an event is added or it is cleared', t => {
-  const text = createText([1, 2], 'a');
+  const text = createTranscript([1, 2], 'a');
   t.false(text.isComplete);
   text.finish();
   t.true(text.isComplete);
--- a/packages/core/src/batches/batch_scheduler.ts
+++ b/packages/core/src/batches/batch_scheduler.ts
@@ -22,10 +22,10 @@
 import {type EarlierFailures, RETAINED_BATCHES} from './earlier_batches.js';
 import {EngineHealth, type EngineView} from './engine_health.js';
 import {
-  chooseText,
-  clearText,
+  chooseTranscript,
+  clearTranscript,
   compareRanks,
-  copyText,
+  copyTranscript,
   isAllSilent,
   findMoveReason,
   findGiveUpReason,
@@ -52,7 +52,7 @@
  * allowed more breaks by chance.
  */
 const MAX_EARLY_BREAKS = 3;
-const MAX_EARLY_BREAKS_WITH_TEXT = 6;
+const MAX_EARLY_BREAKS_WITH_OUTPUT = 6;
 /**
  * Pause of a suspected item, ms. With the usual retention of 40 s the item then
  * reaches at most two more engines.
@@ -140,10 +140,15 @@
       const storedItem = state.items.get(item.id)!;
       const earlier = this.lastJobs.get(item.id);
       if (earlier) carriedGroups.add(item.group);
-      const text = chooseText(storedItem.transcript, earlier);
-      const job = createJob(open, item, copyText(text), failed.get(item.id));
-      if (text === storedItem.transcript)
-        job.recordedEvents = text.events.length;
+      const transcript = chooseTranscript(storedItem.transcript, earlier);
+      const job = createJob(
+        open,
+        item,
+        copyTranscript(transcript),
+        failed.get(item.id),
+      );
+      if (transcript === storedItem.transcript)
+        job.recordedEvents = transcript.events.length;
       job.failures = storedItem.failures;
       job.rewardFailures = storedItem.rewardFailures;
       if (storedItem.isListed) {
@@ -160,7 +165,7 @@
 
   private reuseExisting(job: Job, earlier: Job | undefined): void {
     if (earlier) this.outcomes.reuseResult(job, earlier);
-    this.outcomes.useStoredText(job);
+    this.outcomes.useStoredOutput(job);
     this.outcomes.giveUpRepeatedlyFailed(job);
   }
 
@@ -231,7 +236,7 @@
     if (!open) return;
     open.terms = terms;
     for (const job of open.jobs.values()) {
-      this.outcomes.useStoredText(job);
+      this.outcomes.useStoredOutput(job);
       this.outcomes.giveUpRepeatedlyFailed(job);
     }
   }
@@ -449,7 +454,7 @@
     const isStale =
       terms!.singleVersion &&
       job.transcript.listVersions().some(made => made !== version);
-    if (isStale || !job.transcript.satisfies(terms!)) clearText(job);
+    if (isStale || !job.transcript.satisfies(terms!)) clearTranscript(job);
     const run: Run = {
       id: `${this.cfg.runPrefix}-${this.nextRunNumber++}`,
       job,
@@ -561,8 +566,8 @@
     if (run.events > 0) return;
     job.earlyBreaks += 1;
     this.engineHealth.recordUnreachable(run.engineId, nowMs);
-    const hasText = job.transcript.events.length > 0;
-    const limit = hasText ? MAX_EARLY_BREAKS_WITH_TEXT : MAX_EARLY_BREAKS;
+    const hasOutput = job.transcript.events.length > 0;
+    const limit = hasOutput ? MAX_EARLY_BREAKS_WITH_OUTPUT : MAX_EARLY_BREAKS;
     if (job.earlyBreaks < limit) return;
     job.notBeforeMs = nowMs + SUSPECT_PAUSE_MS;
   }
--- a/packages/core/src/batches/group_choice.ts
+++ b/packages/core/src/batches/group_choice.ts
@@ -48,12 +48,12 @@
   tokensPerEvent: number,
 ): GroupChoice {
   const groups = summarizeGroups(open, tokensPerEvent);
-  const wanted = Math.min(open.batch.groupsWanted, groups.length);
+  const requestedCount = Math.min(open.batch.groupsWanted, groups.length);
   const ranked = [...groups].sort(
     (a, b) =>
       Number(b.isCarried) - Number(a.isCarried) || a.longest - b.longest,
   );
-  const chosen = ranked.slice(0, wanted);
+  const chosen = ranked.slice(0, requestedCount);
   const isSatisfied = chosen.every(({longest}) => longest === 0);
   const needed = new Set(chosen.map(({group}) => group));
   open.chosenGroups = needed;
--- a/packages/core/src/batches/job_outcomes.ts
+++ b/packages/core/src/batches/job_outcomes.ts
@@ -5,7 +5,7 @@
 
 import type {Job} from './batch_job.js';
 import type {ItemResult, RewardRequest} from './batch_record.js';
-import {clearText} from './job_rules.js';
+import {clearTranscript} from './job_rules.js';
 import type {ListReason, ScheduleAction} from './schedule_action.js';
 
 /**
@@ -35,19 +35,19 @@
     // An engine that restarted may have older weights than its last report
     // states; such output is not used.
     if (terms && !job.transcript.satisfies(terms)) {
-      clearText(job);
+      clearTranscript(job);
       return;
     }
     job.transcript.finish();
     if (job.item.reward) job.state = 'unscored';
-    else this.listText(job, undefined, 'finished');
+    else this.listOutput(job, undefined, 'finished');
   }
 
   /**
    * Uses output that the log or an earlier batch has completely, without an
    * engine. Returns whether there was any.
    */
-  useStoredText(job: Job): boolean {
+  useStoredOutput(job: Job): boolean {
     const {terms} = job.batch;
     const isUsable =
       job.state === 'waiting' &&
@@ -56,7 +56,7 @@
       job.transcript.satisfies(terms);
     if (!isUsable) return false;
     if (job.item.reward) job.state = 'unscored';
-    else this.listText(job, undefined, 'known_from_earlier_batch');
+    else this.listOutput(job, undefined, 'known_from_earlier_batch');
     return true;
   }
 
@@ -66,11 +66,11 @@
     const {terms} = job.batch;
     // The route's requirements may have changed since the output was generated.
     if (terms && !job.transcript.satisfies(terms)) {
-      clearText(job);
+      clearTranscript(job);
       job.state = 'waiting';
       return;
     }
-    this.listText(job, score, 'scored');
+    this.listOutput(job, score, 'scored');
   }
 
   /**
@@ -136,10 +136,10 @@
     job.result = result;
     // The result holds the text; its events would take three times as much
     // memory.
-    clearText(job);
+    clearTranscript(job);
   }
 
-  private listText(
+  private listOutput(
     job: Job,
     score: string | undefined,
     reason: ListReason,
--- a/packages/core/src/batches/job_rules.ts
+++ b/packages/core/src/batches/job_rules.ts
@@ -18,13 +18,13 @@
 const MIN_SILENT_RUNS = 2;
 
 /** Drops the output of `job`, which starts over. */
-export function clearText(job: Job): void {
+export function clearTranscript(job: Job): void {
   job.transcript.clear();
   job.recordedEvents = 0;
 }
 
 /** Returns the longer of the output in the log and that of an earlier batch. */
-export function chooseText(
+export function chooseTranscript(
   stored: Transcript,
   earlier: Job | undefined,
 ): Transcript {
@@ -34,7 +34,7 @@
 }
 
 /** Returns a copy of `source` that grows independently. */
-export function copyText(source: Transcript): Transcript {
+export function copyTranscript(source: Transcript): Transcript {
   const copy = new Transcript();
   for (const event of source.events) copy.append(event);
   if (source.isComplete) copy.finish();
--- a/packages/core/src/batches/transcript.ts
+++ b/packages/core/src/batches/transcript.ts
@@ -56,9 +56,9 @@
   join(afterRun: string | undefined, events: readonly OutputEvent[]): boolean {
     const [first] = events;
     if (first === undefined) return true;
-    const keptCount = this.countEventsBefore(afterRun, first.id);
-    if (keptCount === undefined) return false;
-    this.stored.length = keptCount;
+    const retainedCount = this.countEventsBefore(afterRun, first.id);
+    if (retainedCount === undefined) return false;
+    this.stored.length = retainedCount;
     for (const event of events) this.append(event);
     return true;
   }
--- a/packages/core/src/crashes/crash_registry.ts
+++ b/packages/core/src/crashes/crash_registry.ts
@@ -224,7 +224,7 @@
     );
     const isExplained = (crash: CrashRecord) =>
       heavier.some(({crashes}) =>
-        crashes.some(known => isSameCrash(known, crash)),
+        crashes.some(otherCrash => isSameCrash(otherCrash, crash)),
       );
     return sumWeights({
       crashes: entry.crashes.filter(crash => !isExplained(crash)),
@@ -236,7 +236,7 @@
 function mergeCrashes(crashes: readonly CrashRecord[]): readonly CrashRecord[] {
   const merged: CrashRecord[] = [];
   for (const crash of [...crashes].sort((a, b) => a.atMs - b.atMs)) {
-    const index = merged.findIndex(known => isSameCrash(known, crash));
+    const index = merged.findIndex(earlier => isSameCrash(earlier, crash));
     if (index < 0) merged.push(crash);
     else if (merged[index].weight < crash.weight) {
       merged[index] = {...merged[index], weight: crash.weight};
--- a/packages/core/src/fleet/__tests__/endpoint_roster.spec.ts
+++ b/packages/core/src/fleet/__tests__/endpoint_roster.spec.ts
@@ -59,7 +59,7 @@
   t.is(roster.remove('e1', 2, 100)?.kind, 'left');
   t.deepEqual(listIds(roster, 100 + GRACE_MS - 1), ['e1']);
   t.deepEqual(listIds(roster, 100 + GRACE_MS), []);
-  t.is(roster.sweep(100 + GRACE_MS).length, 1);
+  t.is(roster.prune(100 + GRACE_MS).length, 1);
 });
 
 test('an entry that returns within the grace time cancels its removal', t => {
@@ -78,7 +78,7 @@
   const roster = new EndpointRoster(0);
   roster.put(createEntry(), 4);
   roster.remove('e1', 5, 0);
-  roster.sweep(1);
+  roster.prune(1);
   t.is(roster.put(createEntry(), 4).kind, 'stale');
   t.deepEqual(listIds(roster, 1), []);
 });
--- a/packages/core/src/fleet/__tests__/load_limiter.spec.ts
+++ b/packages/core/src/fleet/__tests__/load_limiter.spec.ts
@@ -31,7 +31,7 @@
  * Simulates engines that always have something to load. Up to `atOnce` loads
  * run at full speed; more of them share that capacity.
  */
-function playLoads(
+function simulateLoads(
   policy: LoadPolicy,
   fleet: {readonly engines: number; readonly atOnce: number},
   lengthMs: number,
@@ -74,13 +74,15 @@
 // version comes too late for its step.
 test('a version reaches enough engines of a large fleet in time', t => {
   const fleet = {engines: 1000, atOnce: 10};
-  t.is(countInTime(playLoads(SHARE_POLICY, fleet, VERSION_MS)), 0);
-  t.true(countInTime(playLoads(new LoadLimiter(), fleet, VERSION_MS)) >= 35);
+  t.is(countInTime(simulateLoads(SHARE_POLICY, fleet, VERSION_MS)), 0);
+  t.true(
+    countInTime(simulateLoads(new LoadLimiter(), fleet, VERSION_MS)) >= 35,
+  );
 });
 
 test('the limit falls within a few versions when loads slow each other', t => {
   const fleet = {engines: 1000, atOnce: 12};
-  const loads = playLoads(new LoadLimiter(), fleet, 60_000);
+  const loads = simulateLoads(new LoadLimiter(), fleet, 60_000);
   t.true(findLongest(loads, 20_000) < 2 * LOAD_MS);
 });
 
@@ -89,7 +91,7 @@
 test('the limit grows in a fleet that can load many engines at once', t => {
   const fleet = {engines: 3000, atOnce: 200};
   const limiter = new LoadLimiter();
-  const loads = playLoads(limiter, fleet, 8000);
+  const loads = simulateLoads(limiter, fleet, 8000);
   t.true(limiter.computeLimit(fleet.engines) >= 150);
   t.true(findLongest(loads, 0) < 2 * LOAD_MS);
 });
@@ -101,7 +103,7 @@
   const limiter = new LoadLimiter();
   const before = limiter.computeLimit(fleet.engines);
   limiter.recordLoad({startedMs: 0, endedMs: LOAD_MS / 4}, before, true);
-  playLoads(limiter, fleet, 8000);
+  simulateLoads(limiter, fleet, 8000);
   t.true(limiter.computeLimit(fleet.engines) >= 150);
 });
 
@@ -110,9 +112,9 @@
 test('after too many loads at once the limit settles near the capacity', t => {
   const fleet = {engines: 3000, atOnce: 60};
   for (let lengthMs = 10_000; lengthMs <= 30_000; lengthMs += 500) {
-    const played = new LoadLimiter();
-    playLoads(played, fleet, lengthMs);
-    const limit = played.computeLimit(fleet.engines);
+    const limiter = new LoadLimiter();
+    simulateLoads(limiter, fleet, lengthMs);
+    const limit = limiter.computeLimit(fleet.engines);
     t.true(limit >= 40, `${limit} at ${lengthMs} ms`);
     t.true(limit <= 110, `${limit} at ${lengthMs} ms`);
   }
@@ -125,7 +127,7 @@
     [34, 9],
   ]) {
     const limiter = new LoadLimiter();
-    playLoads(limiter, {engines, atOnce}, 60_000);
+    simulateLoads(limiter, {engines, atOnce}, 60_000);
     t.is(limiter.computeLimit(engines), atOnce);
   }
 });
--- a/packages/core/src/fleet/__tests__/weight_plan.spec.ts
+++ b/packages/core/src/fleet/__tests__/weight_plan.spec.ts
@@ -19,7 +19,7 @@
     id,
     version: 4,
     isBusy: false,
-    isSound: true,
+    isHealthy: true,
     running: 0,
     free: 8,
     gapMs: 35,
@@ -45,12 +45,12 @@
 
   describe(
     model: string,
-    unsound: ReadonlySet<string> = new Set(),
+    unhealthy: ReadonlySet<string> = new Set(),
   ): readonly LoadCandidate[] {
     return [...this.versions.get(model)!].map(([id, version]) =>
       createCandidate(id, {
         version,
-        isSound: !unsound.has(id),
+        isHealthy: !unhealthy.has(id),
         gapMs: 35 + (this.loads.get(id) ?? 0),
       }),
     );
@@ -63,13 +63,13 @@
   loadAll(
     model: string,
     newest: number,
-    unsound: ReadonlySet<string> = new Set(),
+    unhealthy: ReadonlySet<string> = new Set(),
   ): readonly string[] {
     const share = computeShare(this.count, MODELS.length, 2);
     const need = createNeed({newest, minVersion: newest - 1, share});
     const loaded: string[] = [];
     for (;;) {
-      const ids = pickLoads(this.describe(model, unsound), need, MAX_LOADS);
+      const ids = pickLoads(this.describe(model, unhealthy), need, MAX_LOADS);
       if (ids.length === 0) return loaded;
       for (const id of ids) {
         this.versions.get(model)!.set(id, newest);
@@ -80,7 +80,7 @@
   }
 
   /** Returns how many engines may serve a step that allows `oldest`. */
-  countFit(model: string, oldest: number): number {
+  countUsable(model: string, oldest: number): number {
     const versions = [...this.versions.get(model)!.values()];
     return versions.filter(version => version >= oldest).length;
   }
@@ -141,8 +141,8 @@
 test('another engine loads in place of a slow one', t => {
   const engines = [
     createCandidate('e0', {version: 5}),
-    createCandidate('e1', {version: 5, isSound: false}),
-    createCandidate('e2', {version: 3, isSound: false}),
+    createCandidate('e1', {version: 5, isHealthy: false}),
+    createCandidate('e2', {version: 3, isHealthy: false}),
     createCandidate('e3', {version: 3}),
   ];
   t.deepEqual(pickLoads(engines, createNeed(), MAX_LOADS), ['e3']);
@@ -150,7 +150,7 @@
 
 test('if no engine is sound, the unsound ones load', t => {
   const engines = [0, 1].map(i =>
-    createCandidate(`e${i}`, {version: 3, isSound: false}),
+    createCandidate(`e${i}`, {version: 3, isHealthy: false}),
   );
   t.deepEqual(pickLoads(engines, createNeed(), MAX_LOADS), ['e0', 'e1']);
 });
@@ -200,7 +200,7 @@
   for (let version = 2; version <= 12; version++) {
     for (const model of MODELS) {
       t.is(fleet.loadAll(model, version).length, 2);
-      t.true(fleet.countFit(model, version - 1) >= 4);
+      t.true(fleet.countUsable(model, version - 1) >= 4);
     }
   }
   const loads = [...fleet.loads.values()];
@@ -217,16 +217,16 @@
         const fleet = new LoadingFleet(count);
         rounds.forEach((failed, round) => {
           const newest = round + 2;
-          const unsound = new Set(failed.map(i => `e${i}`));
+          const unhealthy = new Set(failed.map(i => `e${i}`));
           for (const model of MODELS) {
-            const loaded = fleet.loadAll(model, newest, unsound);
+            const loaded = fleet.loadAll(model, newest, unhealthy);
             t.true(loaded.length <= computeShare(count, MODELS.length, 2));
-            t.true(fleet.countFit(model, newest) >= 1);
-            const sound = fleet
-              .describe(model, unsound)
-              .filter(({isSound}) => isSound);
-            if (sound.length > 0) {
-              t.true(sound.some(({version}) => version === newest));
+            t.true(fleet.countUsable(model, newest) >= 1);
+            const healthy = fleet
+              .describe(model, unhealthy)
+              .filter(({isHealthy}) => isHealthy);
+            if (healthy.length > 0) {
+              t.true(healthy.some(({version}) => version === newest));
             }
           }
         });
--- a/packages/core/src/fleet/endpoint_roster.ts
+++ b/packages/core/src/fleet/endpoint_roster.ts
@@ -21,7 +21,7 @@
   entry: EndpointEntry;
   /** Offset of the record that last changed it. */
   offset: number;
-  goneAtMs: number | undefined;
+  removedAtMs: number | undefined;
 }
 
 export class EndpointRoster {
@@ -30,29 +30,29 @@
   private readonly removals = new Map<string, number>();
 
   /**
-   * @param goneGraceMs How long an endpoint whose entry disappeared is still
+   * @param removalGraceMs How long an endpoint whose entry disappeared is still
    *     used. Must be shorter than the time for which endpoints keep serving
    *     after they left.
    */
-  constructor(private readonly goneGraceMs: number) {}
+  constructor(private readonly removalGraceMs: number) {}
 
   /** Applies an entry at `offset` of the list's log. */
   put(entry: EndpointEntry, offset: number): RosterChange {
-    const known = this.members.get(entry.id);
-    const removedAt = this.removals.get(entry.id) ?? -1;
-    if (offset <= removedAt || (known && offset <= known.offset)) {
+    const member = this.members.get(entry.id);
+    const removalOffset = this.removals.get(entry.id) ?? -1;
+    if (offset <= removalOffset || (member && offset <= member.offset)) {
       return {kind: 'stale', entry};
     }
-    if (!known) {
-      this.members.set(entry.id, {entry, offset, goneAtMs: undefined});
+    if (!member) {
+      this.members.set(entry.id, {entry, offset, removedAtMs: undefined});
       return {kind: entry.isDraining ? 'draining' : 'joined', entry};
     }
-    if (isOutdated(known.entry, entry)) return {kind: 'stale', entry};
-    const isRestarted = !isSameIncarnation(known.entry, entry);
-    const wasDraining = known.entry.isDraining && !isRestarted;
-    known.entry = entry;
-    known.offset = offset;
-    known.goneAtMs = undefined;
+    if (isOutdated(member.entry, entry)) return {kind: 'stale', entry};
+    const isRestarted = !isSameIncarnation(member.entry, entry);
+    const wasDraining = member.entry.isDraining && !isRestarted;
+    member.entry = entry;
+    member.offset = offset;
+    member.removedAtMs = undefined;
     if (isRestarted) return {kind: 'reborn', entry};
     const isNewlyDraining = entry.isDraining && !wasDraining;
     return {kind: isNewlyDraining ? 'draining' : 'updated', entry};
@@ -60,20 +60,20 @@
 
   /** Applies the removal of an entry at `offset`. */
   remove(id: string, offset: number, nowMs: number): RosterChange | undefined {
-    const known = this.members.get(id);
-    if (known && offset <= known.offset) return undefined;
+    const member = this.members.get(id);
+    if (member && offset <= member.offset) return undefined;
     this.removals.set(id, offset);
-    if (!known || known.goneAtMs !== undefined) return undefined;
-    known.offset = offset;
-    known.goneAtMs = nowMs;
-    return {kind: 'left', entry: known.entry};
+    if (!member || member.removedAtMs !== undefined) return undefined;
+    member.offset = offset;
+    member.removedAtMs = nowMs;
+    return {kind: 'left', entry: member.entry};
   }
 
   /** Drops endpoints whose grace time is over, and returns them. */
-  sweep(nowMs: number): readonly EndpointEntry[] {
+  prune(nowMs: number): readonly EndpointEntry[] {
     const dropped: EndpointEntry[] = [];
     for (const [id, member] of this.members) {
-      if (this.isAlive(member, nowMs)) continue;
+      if (this.isRetained(member, nowMs)) continue;
       this.members.delete(id);
       dropped.push(member.entry);
     }
@@ -91,7 +91,7 @@
     for (const member of this.members.values()) {
       const {entry} = member;
       if (entry.service !== service || entry.isDraining) continue;
-      if (this.isAlive(member, nowMs)) usable.push(entry);
+      if (this.isRetained(member, nowMs)) usable.push(entry);
     }
     return usable;
   }
@@ -104,9 +104,9 @@
     return this.members.size;
   }
 
-  private isAlive(member: Member, nowMs: number): boolean {
-    if (member.goneAtMs === undefined) return true;
-    return nowMs - member.goneAtMs < this.goneGraceMs;
+  private isRetained(member: Member, nowMs: number): boolean {
+    if (member.removedAtMs === undefined) return true;
+    return nowMs - member.removedAtMs < this.removalGraceMs;
   }
 }
 
@@ -115,8 +115,8 @@
  * belongs to an earlier incarnation or has a lower sequence. Applying it would
  * send work to an endpoint that has left, or to versions that it no longer has.
  */
-function isOutdated(known: EndpointEntry, next: EndpointEntry): boolean {
-  if (next.startedAtMs !== known.startedAtMs)
-    return next.startedAtMs < known.startedAtMs;
-  return next.sequence < known.sequence;
+function isOutdated(current: EndpointEntry, next: EndpointEntry): boolean {
+  if (next.startedAtMs !== current.startedAtMs)
+    return next.startedAtMs < current.startedAtMs;
+  return next.sequence < current.sequence;
 }
--- a/packages/core/src/fleet/speed_tracker.ts
+++ b/packages/core/src/fleet/speed_tracker.ts
@@ -98,8 +98,8 @@
    */
   findPaceMs(endpointId: string, nowMs: number): number | undefined {
     const bestMs = this.speeds.get(endpointId)?.bestMs ?? Infinity;
-    const knownMs = Number.isFinite(bestMs) ? bestMs : undefined;
-    return this.getCurrentPaceMs(endpointId, nowMs) ?? knownMs;
+    const bestPaceMs = Number.isFinite(bestMs) ? bestMs : undefined;
+    return this.getCurrentPaceMs(endpointId, nowMs) ?? bestPaceMs;
   }
 
   /**
--- a/packages/core/src/fleet/weight_plan.ts
+++ b/packages/core/src/fleet/weight_plan.ts
@@ -21,7 +21,7 @@
    */
   readonly isBusy: boolean;
   /** Whether it responds and is not slow. */
-  readonly isSound: boolean;
+  readonly isHealthy: boolean;
   /** Number of generations of the model that run on it. */
   readonly running: number;
   /** Number of further generations that it could run. */
@@ -70,11 +70,11 @@
   const missing = need.share - usable.filter(c => isNewest(c, need)).length;
   if (missing <= 0 || maxNewLoads <= 0) return [];
   const outdated = usable.filter(c => !c.isBusy && !isNewest(c, need));
-  const unfit = outdated.filter(c => !isFitForNext(c, need));
+  const tooOld = outdated.filter(c => !isRecentEnough(c, need));
   const picked =
-    unfit.length > 0
-      ? unfit.sort(compareUnfit)
-      : pickSpare(outdated, usable, need);
+    tooOld.length > 0
+      ? tooOld.sort(compareTooOld)
+      : pickReplaceable(outdated, usable, need);
   return picked.slice(0, Math.min(missing, maxNewLoads)).map(({id}) => id);
 }
 
@@ -95,7 +95,7 @@
   return [...plans].sort(
     (a, b) =>
       Number(isStuck(b)) - Number(isStuck(a)) ||
-      countFitForNext(a) - countFitForNext(b),
+      countRecentEnough(a) - countRecentEnough(b),
   );
 }
 
@@ -103,20 +103,20 @@
 function isStuck({candidates, need}: ModelPlan): boolean {
   if (need.waiting === 0) return false;
   return !candidates.some(
-    ({version, isSound}) => isSound && version >= need.minVersion,
+    ({version, isHealthy}) => isHealthy && version >= need.minVersion,
   );
 }
 
-function countFitForNext({candidates, need}: ModelPlan): number {
-  return candidates.filter(c => c.isSound && isFitForNext(c, need)).length;
+function countRecentEnough({candidates, need}: ModelPlan): number {
+  return candidates.filter(c => c.isHealthy && isRecentEnough(c, need)).length;
 }
 
 /** If no engine is sound, the unsound ones are used. */
 function chooseUsable(
   candidates: readonly LoadCandidate[],
 ): readonly LoadCandidate[] {
-  const sound = candidates.filter(({isSound}) => isSound);
-  return sound.length > 0 ? sound : candidates;
+  const healthy = candidates.filter(({isHealthy}) => isHealthy);
+  return healthy.length > 0 ? healthy : candidates;
 }
 
 function isNewest(candidate: LoadCandidate, {newest}: VersionNeed): boolean {
@@ -125,13 +125,13 @@
 }
 
 /** Whether the open steps and the next one may use the engine's weights. */
-function isFitForNext(candidate: LoadCandidate, need: VersionNeed): boolean {
+function isRecentEnough(candidate: LoadCandidate, need: VersionNeed): boolean {
   const oldest = Math.max(need.minVersion, need.newest - 1);
   return candidate.version >= oldest;
 }
 
 /** Engines with the fewest runs to pause first, then the fastest. */
-function compareUnfit(a: LoadCandidate, b: LoadCandidate): number {
+function compareTooOld(a: LoadCandidate, b: LoadCandidate): number {
   return a.running - b.running || a.gapMs - b.gapMs || (a.id < b.id ? -1 : 1);
 }
 
@@ -139,7 +139,7 @@
  * With few engines all of them serve the step. One at a time loads, as soon as
  * the others have room for its runs.
  */
-function pickSpare(
+function pickReplaceable(
   outdated: readonly LoadCandidate[],
   usable: readonly LoadCandidate[],
   need: VersionNeed,
@@ -147,7 +147,7 @@
   if (need.waiting > 0) return [];
   if (usable.some(({loadingVersion}) => loadingVersion !== undefined))
     return [];
-  const spare = [...outdated]
+  const replaceable = [...outdated]
     .sort((a, b) => a.running - b.running)
     .find(({id, running}) => {
       const others = usable.filter(
@@ -155,5 +155,5 @@
       );
       return running <= others.reduce((sum, {free}) => sum + free, 0);
     });
-  return spare ? [spare] : [];
+  return replaceable ? [replaceable] : [];
 }
--- a/packages/core/src/leases/__tests__/log_lease.spec.ts
+++ b/packages/core/src/leases/__tests__/log_lease.spec.ts
@@ -283,7 +283,7 @@
   const partition = createPartition();
   const leases = ['a', 'b', 'c'].map((name, i) => createLease(name, i * 50));
   const nextRead = [0, 0, 0];
-  const isIn = (vm: number, kind: string, tick: number) =>
+  const hasFault = (vm: number, kind: string, tick: number) =>
     faults.some(
       t =>
         t.vm === vm &&
@@ -299,11 +299,11 @@
   const act = (vm: number, tick: number, nowMs: number) => {
     const action = leases[vm].decide(nowMs, nowMs, {engines: ENGINES});
     if (action.kind !== 'append') return;
-    const isCut = isIn(vm, 'cut', tick);
+    const isCut = hasFault(vm, 'cut', tick);
     const offset = isCut
       ? undefined
       : partition.append(action.record, action.at);
-    if (offset === undefined || isIn(vm, 'answers_lost', tick)) {
+    if (offset === undefined || hasFault(vm, 'answers_lost', tick)) {
       leases[vm].onAppendFailed();
     } else {
       leases[vm].onAppended(action.record, offset, nowMs);
@@ -314,7 +314,7 @@
     step(tick: number): void {
       const nowMs = tick * TICK_MS;
       for (const vm of [0, 1, 2]) {
-        if (!isIn(vm, 'cut', tick) && !isIn(vm, 'reads_late', tick)) {
+        if (!hasFault(vm, 'cut', tick) && !hasFault(vm, 'reads_late', tick)) {
           read(vm, nowMs);
         }
         act(vm, tick, nowMs);
--- a/packages/core/src/rewards/__tests__/reward_fixtures.ts
+++ b/packages/core/src/rewards/__tests__/reward_fixtures.ts
@@ -54,7 +54,7 @@
   return scheduler.listUnscored();
 }
 
-export function createChoice(
+export function createCandidate(
   id: string,
   extra: Partial<EndpointCandidate> = {},
 ): EndpointCandidate {
--- a/packages/core/src/rewards/__tests__/reward_scheduler.spec.ts
+++ b/packages/core/src/rewards/__tests__/reward_scheduler.spec.ts
@@ -3,7 +3,7 @@
 import type {EndpointCandidate} from '../../routing/endpoint_choice.js';
 import {RewardScheduler} from '../reward_scheduler.js';
 import {
-  createChoice,
+  createCandidate,
   createUnscored,
   listCalls,
   listCancelled,
@@ -22,7 +22,10 @@
 // Reward calls took all slots of all endpoints.
 test('a burst of calls spreads and leaves slots to other requests', t => {
   const ids = Array.from({length: 30}, (_, i) => `g0-${i}`);
-  const {decide} = createScheduler([createChoice('a1'), createChoice('a2')]);
+  const {decide} = createScheduler([
+    createCandidate('a1'),
+    createCandidate('a2'),
+  ]);
   const calls = listCalls(decide(createUnscored(ids), 0));
   const at = (id: string) => calls.filter(c => c.endpointId === id).length;
   t.is(at('a1'), 4);
@@ -30,12 +33,15 @@
 });
 
 test('an endpoint with one slot still gets calls', t => {
-  const {decide} = createScheduler([createChoice('a1', {slots: 1})]);
+  const {decide} = createScheduler([createCandidate('a1', {slots: 1})]);
   t.is(listCalls(decide(createUnscored(['g0a', 'g0b']), 0)).length, 1);
 });
 
 test('a call that takes too long gets a second one elsewhere, and no third', t => {
-  const {decide} = createScheduler([createChoice('a1'), createChoice('a2')]);
+  const {decide} = createScheduler([
+    createCandidate('a1'),
+    createCandidate('a2'),
+  ]);
   const jobs = createUnscored(['g0a']);
   const [first] = listCalls(decide(jobs, 0));
   t.deepEqual(decide(jobs, 500), []);
@@ -46,8 +52,8 @@
 
 test('a failed call is repeated on another endpoint at once', t => {
   const {scheduler, decide} = createScheduler([
-    createChoice('a1'),
-    createChoice('a2'),
+    createCandidate('a1'),
+    createCandidate('a2'),
   ]);
   const jobs = createUnscored(['g0a']);
   const [first] = listCalls(decide(jobs, 0));
@@ -61,8 +67,8 @@
 // 2. This shows as connections that break repeatedly.
 test('a call pauses after repeated breaks', t => {
   const {scheduler, decide} = createScheduler([
-    createChoice('a1'),
-    createChoice('a2'),
+    createCandidate('a1'),
+    createCandidate('a2'),
   ]);
   const jobs = createUnscored(['g0a']);
   for (let i = 0; i < 3; i++) {
@@ -74,7 +80,7 @@
 });
 
 test('calls for items that no longer wait are cancelled', t => {
-  const {scheduler, decide} = createScheduler([createChoice('a1')]);
+  const {scheduler, decide} = createScheduler([createCandidate('a1')]);
   const jobs = createUnscored(['g0a', 'g0b']);
   const calls = listCalls(decide(jobs, 0));
   const [cancelled] = listCancelled(decide([jobs[0]], 10));
--- a/packages/core/src/scheduling/attempt_table.ts
+++ b/packages/core/src/scheduling/attempt_table.ts
@@ -8,7 +8,7 @@
 /** The group's speed model excludes endpoints with at least this slowness. */
 const MAX_ORDINARY_SLOWNESS = 1.5;
 /** Minimum time for which nothing else is sent to a suspect's endpoint, ms. */
-const QUARANTINE_MS = 3000;
+const ISOLATION_MS = 3000;
 
 const NO_ATTEMPTS: ReadonlySet<Attempt> = new Set();
 
@@ -94,7 +94,7 @@
     if (!isFirst && tokens > attempt.tokens) {
       this.recordSpeed(attempt, tokens - attempt.tokens);
     }
-    this.endQuarantineIfDue(attempt);
+    this.endIsolationIfDue(attempt);
     attempt.tokens = Math.max(attempt.tokens, tokens);
     attempt.progressAtMs = this.state.nowMs;
     if (weightVersion > 0) {
@@ -114,9 +114,9 @@
     this.removeFromEndpoint(attempt);
     this.queues.recordEnd(work);
     const group = this.state.groupOf(work);
-    if (group.runningQuarantined.delete(work)) {
+    if (group.runningSuspects.delete(work)) {
       endpoint.suspect = undefined;
-      endpoint.isQuarantined = false;
+      endpoint.isIsolated = false;
     }
     this.state.onEndpointChanged(endpoint);
     this.state.markDirty(group);
@@ -152,12 +152,12 @@
   }
 
   /** Ends the quarantine once the suspect shows output after QUARANTINE_MS. */
-  private endQuarantineIfDue(attempt: Attempt): void {
+  private endIsolationIfDue(attempt: Attempt): void {
     const {endpoint, work} = attempt;
-    if (!endpoint.isQuarantined) return;
+    if (!endpoint.isIsolated) return;
     if (endpoint.suspect?.workId !== work.item.id) return;
-    if (this.state.nowMs - attempt.startedAtMs < QUARANTINE_MS) return;
-    endpoint.isQuarantined = false;
+    if (this.state.nowMs - attempt.startedAtMs < ISOLATION_MS) return;
+    endpoint.isIsolated = false;
     this.state.onEndpointChanged(endpoint);
   }
 
--- a/packages/core/src/scheduling/crash_tracker.ts
+++ b/packages/core/src/scheduling/crash_tracker.ts
@@ -52,7 +52,7 @@
       other.isCrashCounted = true;
       fingerprints.push(other.work.item.fingerprint);
     }
-    const isolated = endpoint.isQuarantined
+    const isolated = endpoint.isIsolated
       ? endpoint.suspect?.fingerprint
       : undefined;
     return this.report(
@@ -75,7 +75,7 @@
   ): CrashReport | undefined {
     const {endpoint, work} = attempt;
     const isSuspect = endpoint.suspect?.workId === work.item.id;
-    if (endpoint.isQuarantined && isSuspect) {
+    if (endpoint.isIsolated && isSuspect) {
       return this.recordCrash(attempt, endpointAttempts, nowMs);
     }
     endpoint.recordLostConnection(work.item.fingerprint, nowMs);
--- a/packages/core/src/scheduling/endpoint_directory.ts
+++ b/packages/core/src/scheduling/endpoint_directory.ts
@@ -30,7 +30,7 @@
   parked: WorkState[] = [];
   /** Suspected work items waiting for an endpoint without another suspect. */
   quarantined: WorkState[] = [];
-  readonly runningQuarantined = new Set<WorkState>();
+  readonly runningSuspects = new Set<WorkState>();
   /** Whether rollouts are delayed to the next tick. */
   isGathering = false;
 
--- a/packages/core/src/scheduling/endpoint_state.ts
+++ b/packages/core/src/scheduling/endpoint_state.ts
@@ -42,7 +42,7 @@
   /** The suspect running on the endpoint; no second suspect is sent there. */
   suspect?: RunningSuspect;
   /** Whether no requests are sent there, as its suspect is isolated. */
-  isQuarantined = false;
+  isIsolated = false;
   private readonly peers = new Map<VmId, number>();
   private peerTotal = 0;
   private invalidations = 0;
@@ -133,7 +133,7 @@
 
   /** Whether one more request of `workClass` may be sent there. */
   hasRoomFor(workClass: WorkClass, view: VmView): boolean {
-    if (this.isQuarantined) return false;
+    if (this.isIsolated) return false;
     const limit = this.limit.limit;
     if (workClass === 'interactive') {
       // The reserve serves occasional requests from any VM. Peers' load is known
--- a/packages/core/src/scheduling/straggler_scan.ts
+++ b/packages/core/src/scheduling/straggler_scan.ts
@@ -40,7 +40,7 @@
     const hasSpareAttempts =
       this.completion.countChargedAttempts(work) + 2 < item.maxAttempts;
     if (!isOnlyAttempt || !hasSpareAttempts || !item.idempotent) return false;
-    return item.workClass === 'rollout' && !group.runningQuarantined.has(work);
+    return item.workClass === 'rollout' && !group.runningSuspects.has(work);
   }
 
   private moveOrHedge(group: EndpointGroup, attempt: Attempt): void {
--- a/packages/core/src/scheduling/work_dispatcher.ts
+++ b/packages/core/src/scheduling/work_dispatcher.ts
@@ -117,7 +117,7 @@
       return this.completion.giveUpSuspect(work);
     }
     const isAnotherRunning =
-      !options.parallelQuarantine && group.runningQuarantined.size > 0;
+      !options.parallelQuarantine && group.runningSuspects.size > 0;
     const endpoint = isAnotherRunning
       ? undefined
       : this.chooseEndpoint(group, work);
@@ -131,10 +131,10 @@
     endpoint: EndpointState,
   ): void {
     const {id, fingerprint} = work.item;
-    group.runningQuarantined.add(work);
+    group.runningSuspects.add(work);
     this.attempts.start(work, endpoint);
     endpoint.suspect = {workId: id, fingerprint};
-    endpoint.isQuarantined = true;
+    endpoint.isIsolated = true;
     this.state.directory.refresh(endpoint, this.state.nowMs);
   }
 }
--- a/packages/core/src/usage/__tests__/usage.spec.ts
+++ b/packages/core/src/usage/__tests__/usage.spec.ts
@@ -125,9 +125,9 @@
       for (const each of records as readonly ReportRecord[]) {
         tracker.apply(each);
         for (const {window, counts} of tracker.undelivered) {
-          const known = reported.get(window) ?? counts['alpha'];
-          reported.set(window, known);
-          t.is(counts['alpha'], known);
+          const firstCount = reported.get(window) ?? counts['alpha'];
+          reported.set(window, firstCount);
+          t.is(counts['alpha'], firstCount);
         }
       }
     }),
--- a/packages/core/src/usage/report_tracker.ts
+++ b/packages/core/src/usage/report_tracker.ts
@@ -52,11 +52,14 @@
    * received.
    */
   forget(window: number): readonly number[] {
-    for (const known of [...this.delivered]) {
-      if (known < window) this.delivered.delete(known);
+    for (const deliveredWindow of [...this.delivered]) {
+      if (deliveredWindow < window) this.delivered.delete(deliveredWindow);
     }
-    const undelivered = [...this.open.keys()].filter(known => known < window);
-    for (const known of undelivered) this.open.delete(known);
+    const undelivered = [...this.open.keys()].filter(
+      openWindow => openWindow < window,
+    );
+    for (const undeliveredWindow of undelivered)
+      this.open.delete(undeliveredWindow);
     return undelivered;
   }
 }
--- a/packages/core/src/usage/usage_ledger.ts
+++ b/packages/core/src/usage/usage_ledger.ts
@@ -53,8 +53,9 @@
   /** Closes the windows before `window` and drops their counts. */
   close(window: number): void {
     this.firstOpenWindow = Math.max(this.firstOpenWindow, window);
-    for (const known of [...this.windows.keys()]) {
-      if (known < this.firstOpenWindow) this.windows.delete(known);
+    for (const storedWindow of [...this.windows.keys()]) {
+      if (storedWindow < this.firstOpenWindow)
+        this.windows.delete(storedWindow);
     }
     for (const [writer, lastEntry] of this.writers) {
       const isOld = lastEntry.window < this.firstOpenWindow - RETAINED_WINDOWS;
--- a/packages/daemon/src/gateway/engines/weight_task.ts
+++ b/packages/daemon/src/gateway/engines/weight_task.ts
@@ -210,7 +210,7 @@
           version: versions.get(model) ?? 0,
           loadingVersion: target?.model === model ? target.version : undefined,
           isBusy: target !== undefined || !mayOrder(id),
-          isSound: !slow.has(id) && !scheduler.engineHealth.isFailing(id),
+          isHealthy: !slow.has(id) && !scheduler.engineHealth.isFailing(id),
           running: scheduler.countRuns(id, model),
           free: Math.max(slots - running, 0),
           gapMs: speeds.predictGapMs(
--- a/packages/daemon/src/gateway/gateway.ts
+++ b/packages/daemon/src/gateway/gateway.ts
@@ -386,7 +386,7 @@
   }
 
   private sweep(): void {
-    for (const entry of this.roster.sweep(this.clock.now())) {
+    for (const entry of this.roster.prune(this.clock.now())) {
       this.forget(entry);
       this.links.drop(entry.id);
     }
