--- a/packages/core/src/accounts/__tests__/account_directory.spec.ts
+++ b/packages/core/src/accounts/__tests__/account_directory.spec.ts
@@ -52,7 +52,7 @@
   t.is(admit('__proto__', false, 'current'), 'refused');
 });
 
-test('a public rule requires no key, and a known key identifies its account', t => {
+test('a public route requires no key, and a valid key identifies its account', t => {
   t.is(admit(undefined, true, 'current'), 'anonymous');
   t.is(admit('nobody', true, 'behind'), 'anonymous');
   t.is(admit('key-b1', true, 'current'), 'beta');
@@ -82,7 +82,7 @@
   t.true(isOwner({kind: 'unchecked'}, 'alpha'));
 });
 
-test('work continues in the name of the account that it was accepted for', t => {
+test('accepted work continues under the account for which it was accepted', t => {
   const directory = new AccountDirectory(ACCOUNTS);
   t.deepEqual(directory.describeOwner('gone'), {kind: 'account', name: 'gone'});
   t.deepEqual(directory.describeOwner(undefined), {kind: 'anonymous'});
@@ -90,7 +90,7 @@
   t.deepEqual(none.describeOwner(undefined), {kind: 'unchecked'});
 });
 
-test('only a key of the newest list is admitted, however lists follow each other', t => {
+test('only a key of the newest list is admitted, whatever earlier lists contained', t => {
   const key = fc.constantFrom('k0', 'k1', 'k2', 'k3', 'k4');
   const list = fc.uniqueArray(key, {maxLength: 5});
   fc.assert(
--- a/packages/core/src/accounts/account_directory.ts
+++ b/packages/core/src/accounts/account_directory.ts
@@ -1,5 +1,5 @@
 /**
- * Finds the account of a key; the cost of a lookup does not depend on the
+ * Finds the client account of a key; the cost of a look-up does not depend on the
  * number of accounts.
  */
 
@@ -14,7 +14,7 @@
 export interface AdmissionQuery {
   /** Key sent by the caller; undefined if it sent none. */
   readonly key: string | undefined;
-  /** Whether the request's rule requires no key. */
+  /** Whether the request's route requires no key. */
   readonly isPublic: boolean;
   readonly freshness: ConfigFreshness;
 }
@@ -37,7 +37,7 @@
   /**
    * Decides to which account a request belongs. A refusal is final for the
    * caller, so it requires the newest configuration. A VM without current
-   * configuration continues to serve known keys, unless the operator limits
+   * configuration continues to serve keys that it has, unless the operator limits
    * that.
    */
   admit({key, isPublic, freshness}: AdmissionQuery): Admission {
@@ -50,8 +50,8 @@
   }
 
   /**
-   * Returns in whose name accepted work continues, given the account it was
-   * accepted for.
+   * Returns the identity under which accepted work continues, given the account
+   * for which it was accepted.
    */
   describeOwner(account: string | undefined): Caller {
     if (account !== undefined) return {kind: 'account', name: account};
@@ -61,7 +61,7 @@
 
 /**
  * Whether `caller` may read and end work that was accepted for `owner`. Work
- * without an owner is open to all: a public rule admitted it, or there were no
+ * without an owner is open to all: a public route admitted it, or there were no
  * accounts yet.
  */
 export function isOwner(caller: Caller, owner: string | undefined): boolean {
--- a/packages/core/src/accounts/client_account.ts
+++ b/packages/core/src/accounts/client_account.ts
@@ -1,11 +1,11 @@
-/** Client accounts of the configuration, and the identity of callers. */
+/** Defines client accounts and the identities under which callers are admitted. */
 
 /** A trainer or app whose requests are accounted for together. */
 export interface ClientAccount {
   readonly name: string;
-  /** Secrets of which a request must carry one. */
+  /** Secret keys; a request must carry one of them. */
   readonly keys: readonly string[];
-  /** Overrides the priority of a rule; 0 is the most urgent. */
+  /** Overrides the priority of the route; 0 is the most urgent. */
   readonly priority?: number;
 }
 
@@ -13,7 +13,7 @@
 export type Caller =
   /** The configuration has no accounts, so no key is required. */
   | {readonly kind: 'unchecked'}
-  /** Admitted by a public rule without a valid key. */
+  /** Admitted by a public route without a valid key. */
   | {readonly kind: 'anonymous'}
   | {readonly kind: 'account'; readonly name: string};
 
--- a/packages/core/src/batches/__tests__/batch_index.spec.ts
+++ b/packages/core/src/batches/__tests__/batch_index.spec.ts
@@ -6,7 +6,7 @@
 
 const BATCH = createBatch('b0', ['g0a', 'g0b', 'g1a']);
 
-/** Creates a record that lists `itemId` with its text at `offset`. */
+/** Creates a record that lists `itemId` with its output at `offset`. */
 function list(itemId: string, offset = 0): IndexRecord {
   return listResult(
     'b0',
@@ -24,7 +24,7 @@
 // Guards against a trainer that reads two results of one item.
 // 1. A lease holder lists an item and loses its lease before it reads the
 //    record back.
-// 2. The next holder runs the item again and lists it with another text.
+// 2. The next holder runs the item again and lists it with different output.
 // Both results are then in the log.
 test('the first result of an item counts', t => {
   const index = createIndex();
--- a/packages/core/src/batches/__tests__/batch_scheduler.spec.ts
+++ b/packages/core/src/batches/__tests__/batch_scheduler.spec.ts
@@ -61,12 +61,12 @@
   const [run] = listStarts(scheduler.decide(0));
   t.false(scheduler.onEvent(run, createEvent(1, run.id, 2), 10));
   scheduler.onRunEnd(run, 'finished', 20);
-  t.deepEqual(scheduler.decide(20), [], 'no text is no result');
+  t.deepEqual(scheduler.decide(20), [], 'no result without output');
   const [again] = listStarts(scheduler.decide(100));
   t.is(again.job.transcript.events.length, 0);
 });
 
-test('an engine that is too old or loading gets no item', t => {
+test('an engine that has outdated weights or is loading gets no item', t => {
   const versions = new Map([[MODEL, 2]]);
   const {scheduler, open} = createSchedule([
     createEngine('old'),
@@ -136,7 +136,7 @@
 // Guards against an item that takes down one engine after another.
 // 1. An engine crashes when it starts the item; the connection breaks.
 // 2. The item is retried on the next engine, which crashes too.
-// The retries took every break for the engine's own fault.
+// This happens if every break counts as a fault of the engine.
 test('an item pauses after repeated early breaks', t => {
   const engines = [0, 1, 2, 3, 4].map(i => createEngine(`e${i}`));
   const {scheduler, open} = createSchedule(engines);
@@ -152,7 +152,7 @@
 // Guards against a step that waits 15 s for an item that crashes nothing.
 // 1. An engine generates part of the output and its connection breaks.
 // 2. The connections of three more engines break before their first event.
-// The item was suspected although it had output.
+// This happens if an item is suspected although it has output.
 test('an item with output is suspected only after more early breaks', t => {
   const engines = [0, 1, 2, 3, 4, 5, 6].map(i => createEngine(`e${i}`));
   const {scheduler, open} = createSchedule(engines);
@@ -169,7 +169,7 @@
   t.deepEqual(scheduler.decide(2000), [], 'suspected after the sixth break');
 });
 
-// Guards against an item that fails everywhere being run anew in each batch.
+// Guards against an item that fails everywhere and is run again in each batch.
 test('an item that failed in earlier batches is given up after fewer attempts', t => {
   const {scheduler, open} = createSchedule([createEngine('e0')]);
   const failed = new Map([
@@ -273,9 +273,9 @@
   t.is(again.job.transcript.events.length, 0);
 });
 
-// Guards against a step whose runs all pause for a second.
+// Guards against a step whose runs all pause for about one second.
 // 1. New weights are published while a step has long items running.
-// 2. Their engine has to load, as the next step can not be served otherwise.
+// 2. Their engine has to load, as the next step cannot be served otherwise.
 test('items move away from an engine that is about to load', t => {
   const {scheduler, open} = createSchedule([createEngine('e0')]);
   open(createBatch('b0', ['g0a', 'g0b']));
@@ -300,7 +300,7 @@
 // Guards against two groups that alternate so that neither is finished.
 // 1. A trainer waits for one of two groups of about the same length.
 // 2. Each event changes which of them looks closer to completion.
-test('the choice between two equal groups is stable', t => {
+test('the choice between two groups of equal length does not alternate', t => {
   const {scheduler, open} = createSchedule([createEngine('e0', {slots: 1})]);
   const items = ['g0a', 'g1a'].map(id =>
     createItem(id, {expectedOutputTokens: 20}),
@@ -330,7 +330,7 @@
 // engine.
 // 1. Engine speeds differ by a third; the faster engine has four runs more.
 // 2. The longest item goes to the engine with fewer runs.
-// Engines were compared by their number of runs alone.
+// This happens if engines are compared by their number of runs alone.
 test('an item goes to the engine with the shortest event gap, not the fewest runs', t => {
   const engines = ['near', 'fast'].map(id => createEngine(id, {slots: 16}));
   const {scheduler, open} = createSchedule(engines);
--- a/packages/core/src/batches/__tests__/batch_state.spec.ts
+++ b/packages/core/src/batches/__tests__/batch_state.spec.ts
@@ -72,11 +72,11 @@
   t.is(fold.transcripts.size, 0);
 });
 
-// Guards against a text that differs from the one the trainer has read.
-// 1. Two coordinators list one item, each with its own text; the first counts.
+// Guards against output that differs from that which the trainer has read.
+// 1. Two coordinators list one item, each with its own output; the first counts.
 // 2. The next step requests the item again, from the coordinator whose result
 //    is void.
-test('a text that is not in the log is not reused', t => {
+test('output that is not in the log is not reused', t => {
   for (const isOwn of [true, false]) {
     const {scheduler, open} = createSchedule([createEngine('e0')]);
     open(createBatch('b0', ['g0a']));
@@ -97,8 +97,8 @@
 // log.
 // 1. A coordinator lists an item of a group that stays incomplete, and stops.
 // 2. The next step requests the group from its successor, which has read the
-//    ended batch with the texts of its results.
-test('a successor uses results of an ended batch whose texts it has read', t => {
+//    ended batch with the output of its results.
+test('a successor uses results of an ended batch whose output it has read', t => {
   const log = createLog();
   log.apply(listResult('b0', RESULT));
   log.apply({kind: 'ended', batchId: 'b0'});
--- a/packages/core/src/batches/__tests__/earlier_batches.spec.ts
+++ b/packages/core/src/batches/__tests__/earlier_batches.spec.ts
@@ -54,7 +54,7 @@
   t.deepEqual(listIds(steps), []);
 });
 
-// Guards against an item that fails everywhere being run anew in each batch.
+// Guards against an item that fails everywhere and is run again in each batch.
 test('failures of an item are summed over all earlier batches', t => {
   const index = new BatchIndex();
   const steps = ['b0', 'b1', 'b2'];
--- a/packages/core/src/batches/__tests__/placement.spec.ts
+++ b/packages/core/src/batches/__tests__/placement.spec.ts
@@ -29,7 +29,7 @@
 // 1. The runs of a group move from one engine to another in one decision.
 // 2. The next item of the group still counts as sharing its prompt on the old
 //    engine.
-// Removing a run did not remove its group from the engine.
+// This happens if removing a run does not remove its group from the engine.
 test('a group that has left an engine attracts no items there', t => {
   const {placement, group} = createPlacement(1, 1);
   for (const run of group) placement.remove(run);
--- a/packages/core/src/batches/__tests__/transcript.spec.ts
+++ b/packages/core/src/batches/__tests__/transcript.spec.ts
@@ -19,7 +19,7 @@
 // Guards against output that no single engine generated.
 // 1. VMs a and b run one item at once, each from event 3 of an earlier run.
 // 2. Both store their events, with the same ids.
-// Events were joined by id alone.
+// This happens if events are joined by id alone.
 test('events of a run are joined only to the output that the run resumed', t => {
   const text = createTranscript([1, 2, 3], 'first');
   t.true(text.join('first', [createEvent(4, 'a'), createEvent(5, 'a')]));
--- a/packages/core/src/batches/__tests__/trim_tracker.spec.ts
+++ b/packages/core/src/batches/__tests__/trim_tracker.spec.ts
@@ -46,9 +46,9 @@
 });
 
 // Guards against a full log, which refuses every append of all its users.
-// 1. Records are stored for as long as the log's own retention lasts.
+// 1. Records are stored until the log's own retention ends.
 // 2. They take more space than the log has in total.
-test('under steady writing no record much older than the retention stays', t => {
+test('under steady writing, records much older than the retention are trimmed', t => {
   const steps = writeAll(Array.from({length: 3000}, () => 100));
   for (const {nowMs, first, writtenMs} of steps) {
     t.true(nowMs - writtenMs[first] <= RETENTION_MS + SLACK_MS);
--- a/packages/core/src/batches/batch_index.ts
+++ b/packages/core/src/batches/batch_index.ts
@@ -4,8 +4,8 @@
  * an item counts, whoever wrote it, and later ones are void. Two VMs that run
  * one item at the same time therefore never assign it two positions.
  *
- * The index holds no texts: a VM that does not know a partition has to read all
- * of its index before it can answer.
+ * The index contains no output, because a VM has to read the complete index of
+ * a partition before it can answer requests about it.
  */
 
 import type {
--- a/packages/core/src/batches/batch_job.ts
+++ b/packages/core/src/batches/batch_job.ts
@@ -1,4 +1,4 @@
-/** The items of open batches as jobs, and the runs of these jobs on engines. */
+/** Defines jobs, the items of open batches, and their runs on engines. */
 
 import type {Batch, BatchItem, ItemResult} from './batch_record.js';
 import type {EarlierFailures} from './earlier_batches.js';
@@ -25,7 +25,7 @@
    * Number of `transcript` events that are stored in the log for this batch.
    */
   recordedEvents: number;
-  /** Set once the item has a result whose text this VM has. */
+  /** Set once the item has a result whose output this VM has. */
   result: ItemResult | undefined;
   /** Attempts that an endpoint answered as failed. */
   failures: number;
@@ -50,7 +50,7 @@
 /** A batch whose items are still being run. */
 export interface OpenBatch {
   readonly batch: Batch;
-  /** Undefined if no rule allows the batch any more. */
+  /** Undefined if no route allows the batch any more. */
   terms: OpenBatchTerms | undefined;
   readonly jobs: ReadonlyMap<string, Job>;
   /**
@@ -72,8 +72,8 @@
   lastEventMs: number;
   events: number;
   /**
-   * Set when the scheduler stops the run; its end then says nothing about the
-   * endpoint.
+   * Set when the scheduler stops the run; its end then does not count for or against
+   * the engine.
    */
   isStopping: boolean;
 }
--- a/packages/core/src/batches/batch_record.ts
+++ b/packages/core/src/batches/batch_record.ts
@@ -1,8 +1,8 @@
 /**
- * Records of batches in the log. Three topics share the same partitions: an
- * index, which every VM folds to the same positions; payloads, the bytes of
- * submissions and output, read only on demand; and progress, read only by a
- * coordinator that takes over.
+ * Defines the records of batches in the log. Three topics share the same
+ * partitions: an index, which every VM folds to the same positions; payloads, the
+ * bytes of submissions and output, read only on demand; and progress, read only by
+ * a coordinator that takes over.
  */
 
 /**
@@ -30,8 +30,8 @@
   readonly promptTokens: number;
   readonly maxOutputTokens: number;
   /**
-   * The submitter's estimate: right at the median, often far off for a single
-   * item.
+   * The submitter's estimate: correct at the median, often far off for a
+   * single item.
    */
   readonly expectedOutputTokens: number;
   /** Present if the item is only done once it has a score. */
@@ -45,7 +45,7 @@
   readonly host: string;
   readonly path: string;
   /**
-   * Client account that submitted the batch; absent if its rule is public or
+   * Client account that submitted the batch; absent if its route is public or
    * there are no accounts.
    */
   readonly account?: string;
@@ -101,7 +101,7 @@
  */
 export type PayloadRef = readonly PayloadPart[];
 
-/** A result as stored in the index, without its text. */
+/** A result as stored in the index, without its output. */
 export interface ListedResult {
   readonly itemId: string;
   readonly state: ResultState;
@@ -152,11 +152,11 @@
   readonly batchId: string;
   readonly itemId: string;
   /**
-   * The run that generated the event before these; absent if the output starts
-   * here.
+   * The run that generated the event before `events`; absent if the output
+   * starts with them.
    */
   readonly afterRun?: string;
   readonly events: readonly OutputEvent[];
-  /** Set if the output ends with these events. */
+  /** Whether the output ends with `events`. */
   readonly isWhole?: boolean;
 }
--- a/packages/core/src/batches/batch_scheduler.ts
+++ b/packages/core/src/batches/batch_scheduler.ts
@@ -1,8 +1,8 @@
 /**
- * Decides which item runs on which engine. An item can be stopped and resumed
- * on another engine after its last event, which costs a few ms of reading. The
- * scheduler therefore moves runs freely: off slow, silent and leaving engines,
- * and to make room for groups that a trainer waits for.
+ * Decides which batch item runs on which engine. An item can be stopped and
+ * resumed on another engine after its last event, which costs a few ms to read
+ * the output so far. The scheduler therefore moves runs freely: off slow, silent
+ * and leaving engines, and to make room for groups that a trainer waits for.
  *
  * Several trainers share the engines and submit a step about every four seconds
  * each. Output lengths vary by a factor of ten, and a step takes as long as the
--- a/packages/core/src/batches/batch_state.ts
+++ b/packages/core/src/batches/batch_state.ts
@@ -1,6 +1,6 @@
 /**
- * A batch as a coordinator takes it over: its submission, its state in the
- * index, and the stored output of incomplete items.
+ * Assembles the state of a batch for a coordinator that takes it over: its
+ * submission, its state in the index, and the stored output of incomplete items.
  */
 
 import type {IndexedBatch} from './batch_index.js';
@@ -20,7 +20,7 @@
   readonly rewardFailures: number;
   /** Whether it has a result. */
   readonly isListed: boolean;
-  /** Its result, if the text has been read. */
+  /** Its result, if the output has been read. */
   readonly result?: ItemResult;
 }
 
@@ -30,7 +30,7 @@
   readonly isEnded: boolean;
 }
 
-/** Stored output of items, which the index does not hold. */
+/** Stored output of items, which the index does not contain. */
 export interface StoredOutput {
   readonly transcripts: ReadonlyMap<string, Transcript>;
   readonly results: ReadonlyMap<string, ItemResult>;
--- a/packages/core/src/batches/engine_health.ts
+++ b/packages/core/src/batches/engine_health.ts
@@ -1,6 +1,6 @@
 /**
- * What the batch scheduler observes of engines, beyond their entries in the
- * list.
+ * Tracks the failures, refusals and speed of engines that the batch scheduler
+ * observes, as their entries in the endpoint list do not show them.
  */
 
 import {SpeedTracker} from '../fleet/speed_tracker.js';
--- a/packages/core/src/batches/job_outcomes.ts
+++ b/packages/core/src/batches/job_outcomes.ts
@@ -134,8 +134,8 @@
   finish(job: Job, result: ItemResult | undefined): void {
     job.state = 'finished';
     job.result = result;
-    // The result holds the text; its events would take three times as much
-    // memory.
+    // The result contains the output; its events would take three times as
+    // much memory.
     clearTranscript(job);
   }
 
--- a/packages/core/src/batches/job_rules.ts
+++ b/packages/core/src/batches/job_rules.ts
@@ -1,4 +1,4 @@
-/** Small rules on jobs and runs for the batch scheduler. */
+/** Decides on single jobs and runs for the batch scheduler. */
 
 import type {Job, OpenBatch, Run} from './batch_job.js';
 import type {Placement} from './placement.js';
@@ -51,7 +51,7 @@
   if (!engine) return 'engine_draining';
   const {model} = run.job.batch.batch;
   // A load would pause the run for about a second; resuming elsewhere costs
-  // reading its text again, about 25 ms for the longest.
+  // reading its output again, about 25 ms for the longest.
   return engine.loading.has(model) ? 'engine_loading' : undefined;
 }
 
--- a/packages/core/src/batches/placement.ts
+++ b/packages/core/src/batches/placement.ts
@@ -27,12 +27,12 @@
  */
 const AFFINITY_RUNS = 1;
 /**
- * Additional factor on the gap of a slow engine, as its current speed says
- * little of its future speed.
+ * Additional factor on the gap of a slow engine, as its current speed hardly
+ * predicts its future speed.
  */
 const SLOW_PENALTY = 2;
 /**
- * Cost of moving a run, ms: a round trip, reading its text again, and the event
+ * Cost of moving a run, ms: a round trip, reading its output again, and the event
  * being generated.
  */
 const MOVE_MS = 80;
--- a/packages/core/src/batches/run_table.ts
+++ b/packages/core/src/batches/run_table.ts
@@ -1,4 +1,4 @@
-/** The current runs, with their number on each engine. */
+/** Stores the current runs and counts them by engine and model. */
 
 import type {Run} from './batch_job.js';
 
--- a/packages/core/src/batches/schedule_action.ts
+++ b/packages/core/src/batches/schedule_action.ts
@@ -1,6 +1,6 @@
 /**
- * Events of runs that the batch scheduler handles, and actions that it requests
- * from its owner.
+ * Defines the ends of runs that the batch scheduler handles and the actions that
+ * it requests from its owner.
  */
 
 import type {ItemResult} from './batch_record.js';
--- a/packages/core/src/batches/transcript.ts
+++ b/packages/core/src/batches/transcript.ts
@@ -1,4 +1,4 @@
-/** The output of an item so far. */
+/** Stores the output that an item has so far. */
 
 import type {OutputEvent} from './batch_record.js';
 
@@ -63,7 +63,8 @@
     return true;
   }
 
-  /** Number of events before one with `id` that follows `afterRun`. */
+  /** Returns the number of events to retain before one with `id` that resumes
+   * after an event of `afterRun`; undefined if that event is not stored. */
   private countEventsBefore(
     afterRun: string | undefined,
     id: number,
--- a/packages/core/src/crashes/crash_registry.ts
+++ b/packages/core/src/crashes/crash_registry.ts
@@ -171,7 +171,7 @@
   }
 
   /**
-   * Clears a request that completed, since it can not be what crashes
+   * Clears a request that completed, since it cannot be what crashes
    * endpoints. Returns whether it was tracked.
    */
   clear(fingerprint: string): boolean {
--- a/packages/core/src/crashes/recent_answers.ts
+++ b/packages/core/src/crashes/recent_answers.ts
@@ -1,7 +1,7 @@
 /**
- * Requests that endpoints answered recently. A request that is sent continually
- * is in flight during most crashes. A recent answer on any VM clears it, as it
- * shows that the request does not crash endpoints.
+ * Tracks requests that endpoints answered recently. A request that is sent
+ * continually is in flight during most crashes. A recent answer on any VM clears
+ * it, as it shows that the request does not crash endpoints.
  */
 
 /**
--- a/packages/core/src/fleet/__tests__/endpoint_roster.spec.ts
+++ b/packages/core/src/fleet/__tests__/endpoint_roster.spec.ts
@@ -36,7 +36,7 @@
 // 1. An endpoint reports that it drains while an earlier write of it is
 //    delayed.
 // 2. The earlier write, which reports it ready, lands after the later one.
-// The newest record does not always hold the newest state.
+// The newest record does not always contain the newest state.
 test('a delayed write does not undo a later one', t => {
   const roster = new EndpointRoster(GRACE_MS);
   roster.put(createEntry({sequence: 5, isDraining: true}), 1);
@@ -44,7 +44,7 @@
   t.deepEqual(listIds(roster), []);
 });
 
-test('a restart under the same id starts over, and its former incarnation has ended', t => {
+test('a restart under the same id replaces the earlier incarnation', t => {
   const roster = new EndpointRoster(GRACE_MS);
   roster.put(createEntry({sequence: 9, isDraining: true}), 1);
   const restarted = createEntry({startedAtMs: 2000, sequence: 0});
@@ -73,7 +73,7 @@
 // Guards against a removed endpoint that returns with a page of older records.
 // 1. The entry is removed at offset 5.
 // 2. A page of records that was read before still has it at offset 4.
-// Pages are not a snapshot.
+// Pages of the list are not read at one moment.
 test('an older record does not undo a removal', t => {
   const roster = new EndpointRoster(0);
   roster.put(createEntry(), 4);
--- a/packages/core/src/fleet/__tests__/load_limiter.spec.ts
+++ b/packages/core/src/fleet/__tests__/load_limiter.spec.ts
@@ -11,7 +11,7 @@
   recordLoad: LoadLimiter['recordLoad'];
 }
 
-/** A fixed share of the engines loads, however long loads take. */
+/** Lets a fixed share of the engines load, however long loads take. */
 const SHARE_POLICY: LoadPolicy = {
   computeLimit: engineCount => Math.max(2, Math.floor(engineCount * 0.29)),
   recordLoad: () => undefined,
@@ -133,7 +133,7 @@
 });
 
 // Guards against one slow engine that makes all others wait for their weights.
-test('one load in five that takes long changes nothing', t => {
+test('one slow load in five does not change the limit', t => {
   const limiter = new LoadLimiter();
   const before = limiter.computeLimit(34);
   for (let i = 0; i < 200; i++) {
--- a/packages/core/src/fleet/__tests__/speed_tracker.spec.ts
+++ b/packages/core/src/fleet/__tests__/speed_tracker.spec.ts
@@ -22,7 +22,7 @@
 });
 
 // Guards against work that moves back and forth between equally fast engines.
-// 1. An engine loads new weights; each of its runs pauses once for a second.
+// 1. An engine loads new weights; each of its runs pauses once for about one second.
 // 2. The pauses count as gaps, and it seems three times slower than others.
 test('a pause does not count as slowness', t => {
   const tracker = new SpeedTracker();
@@ -66,7 +66,7 @@
 // Guards against an engine that was slow for a while and never gets work again.
 // 1. It becomes three times slower and its runs move away.
 // 2. It recovers, but no run is left there that could show it.
-// The last reading was taken for the engine's speed without a time limit.
+// This happens if the last reading is valid without a time limit.
 test('an expired reading is replaced by the best pace of the endpoint', t => {
   const tracker = new SpeedTracker();
   recordGaps(tracker, 'a', 40, 2000);
--- a/packages/core/src/fleet/__tests__/weight_plan.spec.ts
+++ b/packages/core/src/fleet/__tests__/weight_plan.spec.ts
@@ -103,10 +103,10 @@
   t.deepEqual(pickLoads(engines, createNeed(), MAX_LOADS), []);
 });
 
-// Guards against a step whose engines load while others hold outdated weights.
+// Guards against a step whose engines load while others have outdated weights.
 // 1. The newest version is published while a step runs on the previous one.
-// 2. The engines of that step load and pause its items for a second.
-// Engines with the version in use were chosen to load.
+// 2. The engines of that step load and pause its items for about one second.
+// This happens if engines with the version in use are chosen to load.
 test('engines whose weights are too old for the next step load first', t => {
   const engines = [
     createCandidate('e0', {version: 4, gapMs: 20}),
@@ -130,7 +130,7 @@
 
 // Guards against trainers that wait for two engines while four are idle.
 // 1. The coordinator starts when two engines are listed; both load.
-// 2. The others are listed a second later and never get a version.
+// 2. The others are listed one second later and never get a version.
 test('engines that are listed later load the next version', t => {
   const early = [0, 1].map(i => createCandidate(`e${i}`, {version: 5}));
   const later = [2, 3].map(i => createCandidate(`e${i}`, {version: 1}));
@@ -148,7 +148,7 @@
   t.deepEqual(pickLoads(engines, createNeed(), MAX_LOADS), ['e3']);
 });
 
-test('if no engine is sound, the unsound ones load', t => {
+test('if no engine is healthy, the unhealthy ones load', t => {
   const engines = [0, 1].map(i =>
     createCandidate(`e${i}`, {version: 3, isHealthy: false}),
   );
@@ -165,7 +165,7 @@
   t.deepEqual(pickLoads([idle, busy], need, MAX_LOADS), []);
 });
 
-test('an engine with work loads once the others have room for it', t => {
+test('an engine with runs loads once the others have room for them', t => {
   const done = createCandidate('e0', {version: 5, running: 4, free: 4});
   const busy = createCandidate('e1', {running: 5});
   t.deepEqual(pickLoads([done, busy], createNeed(), MAX_LOADS), []);
@@ -173,7 +173,7 @@
   t.deepEqual(pickLoads([done, fits], createNeed(), MAX_LOADS), ['e1']);
 });
 
-// Guards against a step that waits for a second while no engine can serve it.
+// Guards against a step that waits for one second while no engine can serve it.
 // 1. All engines still run the last step and none has loaded since.
 // 2. The next step may not use their weights.
 test('if no engine can serve the step, they load at once, idle ones first', t => {
@@ -195,7 +195,7 @@
   t.deepEqual(pickLoads(engines, createNeed(), -1), []);
 });
 
-test('versions rotate: a step can use twice as many engines as load', t => {
+test('versions rotate: a step can use twice as many engines as load each version', t => {
   const fleet = new LoadingFleet(6);
   for (let version = 2; version <= 12; version++) {
     for (const model of MODELS) {
--- a/packages/core/src/fleet/endpoint_entry.ts
+++ b/packages/core/src/fleet/endpoint_entry.ts
@@ -1,4 +1,4 @@
-/** Entry of one endpoint in the platform's list. */
+/** Defines the entry of one endpoint in the platform's endpoint list. */
 
 /** A model on an engine and its weight version. */
 export interface ModelVersion {
@@ -15,7 +15,7 @@
   readonly port: number;
   readonly dataCentre: string;
   readonly slots: number;
-  /** A draining endpoint takes no new work. */
+  /** Whether the endpoint takes no new work and only completes what it has. */
   readonly isDraining: boolean;
   /** Empty for plain services. */
   readonly models: readonly ModelVersion[];
--- a/packages/core/src/fleet/endpoint_roster.ts
+++ b/packages/core/src/fleet/endpoint_roster.ts
@@ -1,8 +1,8 @@
 /**
- * The endpoints that may get work, folded from the platform's list. Entries
- * older than the current one are ignored. An endpoint whose entry disappeared
- * is used for a short grace time, since lists lose entries while their store is
- * unavailable.
+ * Tracks the endpoints that may get work, folded from the platform's endpoint
+ * list. Entries older than the current one are ignored. An endpoint whose entry
+ * disappeared is used for a short grace time, since lists lose entries while
+ * their store is unavailable.
  */
 
 import {type EndpointEntry, isSameIncarnation} from './endpoint_entry.js';
--- a/packages/core/src/fleet/weight_plan.ts
+++ b/packages/core/src/fleet/weight_plan.ts
@@ -16,8 +16,8 @@
   /** Version of the model that it is loading, if any. */
   readonly loadingVersion?: number | undefined;
   /**
-   * Whether it can not be ordered now: it is executing an order for some model,
-   * or may just have got one from another VM.
+   * Whether it cannot be ordered now: it is executing an order for some model, or
+   * may just have received one from another VM.
    */
   readonly isBusy: boolean;
   /** Whether it responds and is not slow. */
@@ -111,7 +111,7 @@
   return candidates.filter(c => c.isHealthy && isRecentEnough(c, need)).length;
 }
 
-/** If no engine is sound, the unsound ones are used. */
+/** Returns the healthy engines, or all if none is healthy. */
 function chooseUsable(
   candidates: readonly LoadCandidate[],
 ): readonly LoadCandidate[] {
@@ -136,8 +136,8 @@
 }
 
 /**
- * With few engines all of them serve the step. One at a time loads, as soon as
- * the others have room for its runs.
+ * Picks one engine when all of them serve the step, as in a small fleet. It loads
+ * once the others have room for its runs, and only while no other engine loads.
  */
 function pickReplaceable(
   outdated: readonly LoadCandidate[],
--- a/packages/core/src/leases/__tests__/log_lease.spec.ts
+++ b/packages/core/src/leases/__tests__/log_lease.spec.ts
@@ -45,7 +45,7 @@
 // Guards against steps that make no progress although there is a coordinator.
 // 1. A VM starts while the log is unavailable. Once it is back, the VM reads
 //    the lease before the configuration, and claims.
-// 2. It drops batches that it has no rules for, and renews the lease for
+// 2. It drops batches for which it has no routes, and renews the lease for
 //    seconds.
 test('a VM without the configuration does not claim the lease', t => {
   const lease = createLease('a');
@@ -70,9 +70,9 @@
 
 // Guards against two VMs that give orders to one engine.
 // 1. VM a claims; the call gets no response and is executed seconds later.
-// 2. VM a reads its own claim and counts a fresh lease from then on.
-// The lease was counted from when the claim was read, not from when it was
-// sent.
+// 2. VM a reads its own claim and counts a new lease from then on.
+// This happens if validity is counted from when the claim is read, not from when
+// it was sent.
 test('a claim that was executed late is not valid until it is renewed', t => {
   const lease = createLease('a');
   lease.decide(1600, 1600);
@@ -89,7 +89,7 @@
 // 1. The holder and all others are down; one VM is back after two seconds.
 // 2. It reads the last renewal and waits for the full silence of a stopped
 //    holder.
-// Silence was counted from when the record was read.
+// This happens if silence is counted from when the record is read.
 test('a VM that starts long after the last record claims at once', t => {
   const start = (unixNowMs: number) => {
     const lease = new LogLease('b', TIMING, 0, 0);
@@ -111,7 +111,7 @@
 // stopped.
 // 1. The holder stops; it had ordered one engine of six.
 // 2. Its successor waits for a full lease before it orders any engine.
-// Nothing recorded which engines the previous holder had ordered.
+// This happens if no record names the engines that the previous holder ordered.
 test('a successor waits only for engines that were announced', t => {
   const lease = createLease('b');
   lease.observe({...CLAIM, holder: 'a'}, 0, 0);
@@ -139,7 +139,7 @@
 // 1. VM a has just renewed, and its lease is valid for 900 ms more.
 // 2. VM b starts with a clock that is ahead, takes the renewal for an old one
 //    and claims at once; its term starts while the lease of a is still valid.
-// The term was counted from a claim that only the time of day permitted.
+// This happens if the wait before an order depends on the time of day.
 test('a clock that is ahead does not shorten the wait before an order', t => {
   const lease = createLease('b');
   lease.observe({kind: 'renewal', holder: 'a', atMs: 0}, 0, 100);
@@ -153,8 +153,8 @@
 // lost power.
 // 1. A VM that is back reads the complete log at one moment.
 // 2. It takes an announcement that is minutes old for a current one.
-// Age was counted from when the record was read.
-test('renewals after an announcement show its age', t => {
+// This happens if age is counted from when the record is read.
+test('renewals after an announcement prove its minimum age', t => {
   const lease = createLease('b');
   lease.observe({...ORDER, holder: 'a', engines: ['e1']}, 0, 0);
   for (let i = 1; i <= 20; i++) {
@@ -165,8 +165,8 @@
 });
 
 // Guards against orders of two VMs to one engine within a lease.
-// 1. VM b can not read for a moment; meanwhile a announces an order.
-// 2. The log trims that record before b reads on.
+// 1. VM b cannot read for a moment; meanwhile a announces an order.
+// 2. The log trims that record before b reads again.
 test('after a gap any engine may have been ordered', t => {
   const lease = createLease('b');
   lease.observe({...CLAIM, holder: 'a'}, 0, 0);
@@ -174,7 +174,7 @@
   t.is(lease.measureQuietMs('e1', 6000), 1000 - TIMING.orderWindowMs);
 });
 
-test('an order is covered once its announcement is appended, for a limited time', t => {
+test('an appended announcement covers orders for a limited time', t => {
   const lease = createLease('a');
   lease.decide(1600, 1600);
   lease.onAppended({...CLAIM, holder: 'a'}, 0, 1610);
@@ -188,7 +188,7 @@
   t.false(lease.isAnnounced('e2', 1630));
 });
 
-test('own orders of an earlier term need no waiting', t => {
+test('a holder does not wait after its own orders of an earlier term', t => {
   const lease = createLease('a');
   lease.observe({...ORDER, holder: 'a', engines: ['e1']}, 0, 0);
   t.is(lease.measureQuietMs('e1', 0), Infinity);
@@ -203,7 +203,7 @@
   passMs: fc.integer({min: 0, max: 700}),
 });
 
-test('two VMs never hold the lease at one time, whichever answers are lost or late', t => {
+test('two VMs never hold the lease at the same time, whichever answers are lost or late', t => {
   fc.assert(
     fc.property(fc.array(step, {maxLength: 120}), steps => {
       const partition = createPartition();
--- a/packages/core/src/leases/log_lease.ts
+++ b/packages/core/src/leases/log_lease.ts
@@ -1,8 +1,8 @@
 /**
- * A lease over one partition of the log. Its records are claims and renewals,
- * each appended only if the partition still ends where the writer last saw it,
- * so of two competing claims exactly one succeeds. The offset of a claim yields
- * the fencing token of that term, which grows with each holder.
+ * Implements a lease over one partition of the log. Its records are claims and
+ * renewals, each appended only if the partition still ends where the writer last
+ * saw it, so of two competing claims exactly one succeeds. The offset of a claim
+ * yields the fencing token of that term, which grows with each holder.
  *
  * Times are from a steady clock that may stand still while the VM is suspended;
  * the owner of this object calls `invalidate` when it detects that.
@@ -148,7 +148,7 @@
    *
    * A successor that reads no announcement orders at once. The announcement was
    * appended at the end of all records, so whoever claims after it has read it,
-   * and it can not be appended after a claim that this holder has not read.
+   * and it cannot be appended after a claim that this holder has not read.
    */
   isAnnounced(engineId: string, nowMs: number): boolean {
     const untilMs = this.announcedUntilMs.get(engineId) ?? -Infinity;
@@ -183,7 +183,7 @@
         if (this.holder !== record.holder) break;
         this.holder = undefined;
         this.isReleased = true;
-        // Only the VM's own claim delay remains to be waited for.
+        // Only the VM's own claim delay remains.
         this.lastRecordMs = nowMs - this.timing.silenceMs;
     }
   }
--- a/packages/core/src/rewards/__tests__/reward_order.spec.ts
+++ b/packages/core/src/rewards/__tests__/reward_order.spec.ts
@@ -33,7 +33,7 @@
 // ones.
 // 1. Few endpoints are left, and reward calls queue.
 // 2. Later batches with small groups always get their scores first.
-// Items were ranked by the number of scores that their group lacked.
+// This happens if items are ranked by the number of scores that their group lacks.
 test('the batch that is due first is scored first, however large its groups', t => {
   const {scheduler, open} = createSchedule([createEngine('e0', {slots: 6})]);
   const large = ['g0a', 'g0b', 'g0c', 'g0d'].map(createRewardItem);
@@ -59,11 +59,11 @@
   t.like(listResults(scheduler), [{state: 'errored'}]);
 });
 
-// Guards against a step that loses a second generating output that is in the
-// log.
+// Guards against a step that loses one second because output in the log is
+// generated again.
 // 1. A coordinator stores complete output and stops before its score arrives.
 // 2. Its successor opens the batch.
-// The successor knew the events but not that the output had ended.
+// This happens if the log contains the events but not that the output ended.
 test('output that is complete in the log only waits for its score', t => {
   const {scheduler, log, open} = createSchedule([createEngine('e0')]);
   const batch = createBatch('b0', [], {items: [createRewardItem('g0a')]});
@@ -81,7 +81,7 @@
   t.is(job.rewardFailures, 1);
 });
 
-// Guards against a score that was given for another call.
+// Guards against an item that gets the score of another reward call.
 // 1. A group that was incomplete is requested again in a later batch.
 // 2. Its items have other reward requests than before.
 test('a score is reused only for the same call', t => {
--- a/packages/core/src/rewards/__tests__/reward_scheduler.spec.ts
+++ b/packages/core/src/rewards/__tests__/reward_scheduler.spec.ts
@@ -19,7 +19,7 @@
 // Guards against app users who wait while a step is scored.
 // 1. All output of a step ends within a second: 30 calls for 12 slots.
 // 2. An app's request occupies a slot for 29 ms, a reward call for 229 ms.
-// Reward calls took all slots of all endpoints.
+// Without reserved slots, reward calls take all slots of all endpoints.
 test('a burst of calls spreads and leaves slots to other requests', t => {
   const ids = Array.from({length: 30}, (_, i) => `g0-${i}`);
   const {decide} = createScheduler([
@@ -37,7 +37,7 @@
   t.is(listCalls(decide(createUnscored(['g0a', 'g0b']), 0)).length, 1);
 });
 
-test('a call that takes too long gets a second one elsewhere, and no third', t => {
+test('a call that takes too long is hedged once, on another endpoint', t => {
   const {decide} = createScheduler([
     createCandidate('a1'),
     createCandidate('a2'),
@@ -89,7 +89,7 @@
   t.deepEqual(decide([jobs[0]], 20), []);
 });
 
-test('no call starts without a rule that allows it', t => {
+test('no call starts without a route that allows it', t => {
   const scheduler = new RewardScheduler('dc');
   const jobs = createUnscored(['g0a']);
   t.deepEqual(
--- a/packages/core/src/rewards/reward_scheduler.ts
+++ b/packages/core/src/rewards/reward_scheduler.ts
@@ -13,13 +13,13 @@
   type EndpointCandidate,
 } from '../routing/endpoint_choice.js';
 
-/** Endpoints that a reward call may use under the current rule. */
+/** Endpoints that a reward call may use under the current route. */
 export interface RewardRoute {
   readonly endpoints: readonly EndpointCandidate[];
 }
 
 /**
- * Finds the route of the reward call of `job`; undefined if no rule allows it
+ * Finds the route of the reward call of `job`; undefined if no route allows it
  * now.
  */
 export type FindRewardRoute = (
--- a/packages/core/src/routing/__tests__/attempt_policy.spec.ts
+++ b/packages/core/src/routing/__tests__/attempt_policy.spec.ts
@@ -90,7 +90,7 @@
   });
 }
 
-test('only repeatable requests with an attempt to spare are hedged', t => {
+test('only repeatable requests with an attempt left are hedged', t => {
   t.is(measureHedgeMs(REPEATABLE), 120);
   t.is(measureHedgeMs({...REPEATABLE, objectiveMs: 10}), 60);
   t.is(measureHedgeMs({...REPEATABLE, attempts: 1}), undefined);
@@ -125,7 +125,7 @@
 }
 
 // Guards against a caller that repeats a payment already made: an attempt may have
-// run, later ones are refused, and the caller is told that its request did not run.
+// run, later ones are refused, and the response states that the request did not run.
 test('a refused request never ran, and no request runs too often', t => {
   fc.assert(
     fc.property(
--- a/packages/core/src/routing/attempt_policy.ts
+++ b/packages/core/src/routing/attempt_policy.ts
@@ -23,7 +23,7 @@
   /** Pass the endpoint's answer on to the caller. */
   | {readonly kind: 'pass_on'}
   | {readonly kind: 'try_again'}
-  /** Tell the caller that the request did not run, which is certain. */
+  /** Respond that the request did not run, which is certain. */
   | {readonly kind: 'refuse'}
   /**
    * Report a failure: the request may have run, and it may not be repeated or
--- a/packages/core/src/routing/route_table.ts
+++ b/packages/core/src/routing/route_table.ts
@@ -1,6 +1,6 @@
 /**
- * Routes by host and path prefix. The route with the longest matching prefix
- * applies, so an answer can name the one route that caused it.
+ * Finds the route of a request by host and path prefix. The route with the longest
+ * matching prefix applies, so an answer can name the one route that caused it.
  */
 
 import {AccountDirectory} from '../accounts/account_directory.js';
--- a/packages/core/src/scheduling/admission.ts
+++ b/packages/core/src/scheduling/admission.ts
@@ -1,4 +1,4 @@
-/** Decides which work items are refused on arrival, and when to retry. */
+/** Decides which work items are refused on arrival, and when callers may retry. */
 
 import {createError, RadishyokeError} from '@radishyoke/shared/error_kind';
 import type {EndpointGroup} from './endpoint_directory.js';
@@ -56,7 +56,7 @@
   // The queue limit applies only to the first sample of a step. A step larger than
   // the limit would otherwise lose some samples and run the others for nothing.
   if (isFull && !isStepOpen) {
-    // A place becomes free when the next queued item is started.
+    // There is room again when the next queued item is started.
     const perItemMs = waitMs === undefined ? undefined : waitMs / queued;
     return createError('overloaded', undefined, {
       retryAfterMs: Math.ceil(perItemMs ?? DEFAULT_RETRY_AFTER_MS),
--- a/packages/core/src/scheduling/attempt_table.ts
+++ b/packages/core/src/scheduling/attempt_table.ts
@@ -151,7 +151,7 @@
       speed.record(streams, tokenMs);
   }
 
-  /** Ends the quarantine once the suspect shows output after QUARANTINE_MS. */
+  /** Ends the isolation once the suspect produces output after `ISOLATION_MS`. */
   private endIsolationIfDue(attempt: Attempt): void {
     const {endpoint, work} = attempt;
     if (!endpoint.isIsolated) return;
--- a/packages/core/src/scheduling/binary_heap.ts
+++ b/packages/core/src/scheduling/binary_heap.ts
@@ -1,4 +1,4 @@
-/** A priority queue stored as a binary heap in an array. */
+/** Implements a priority queue as a binary heap in an array. */
 
 export class BinaryHeap<T> {
   private readonly items: T[] = [];
--- a/packages/core/src/scheduling/crash_tracker.ts
+++ b/packages/core/src/scheduling/crash_tracker.ts
@@ -1,4 +1,4 @@
-/** Detects endpoint crashes from failed attempts, with the requests in flight. */
+/** Detects endpoint crashes from failed attempts and records the requests in flight. */
 
 import type {EndpointId} from '@radishyoke/shared/ids';
 import type {EndpointState} from './endpoint_state.js';
--- a/packages/core/src/scheduling/drain_rate.ts
+++ b/packages/core/src/scheduling/drain_rate.ts
@@ -1,8 +1,8 @@
 /** Measures how fast a queue drains, only while it has a backlog. */
 
 /**
- * Time constant of the exponential decay, in ms of backlog: older measurements
- * fall to about a third.
+ * Time constant of the exponential decay, in ms of backlog: after this time a
+ * measurement counts for about a third.
  */
 const MEMORY_MS = 10_000;
 /** Ms of measured backlog needed before the rate is used. */
--- a/packages/core/src/scheduling/endpoint_directory.ts
+++ b/packages/core/src/scheduling/endpoint_directory.ts
@@ -1,6 +1,6 @@
 /**
- * All endpoints of a VM by group, updated from the VM list, load reports, peers'
- * digests and cache events.
+ * Stores all endpoints that a VM uses, by group, updated from the VM list, load
+ * reports, peers' digests and cache events.
  */
 
 import type {EndpointInfo, LoadReport} from '@radishyoke/shared/endpoint';
@@ -30,6 +30,7 @@
   parked: WorkState[] = [];
   /** Suspected work items waiting for an endpoint without another suspect. */
   quarantined: WorkState[] = [];
+  /** Running work items that were started as suspects. */
   readonly runningSuspects = new Set<WorkState>();
   /** Whether rollouts are delayed to the next tick. */
   isGathering = false;
@@ -67,7 +68,7 @@
 
   /**
    * Returns the groups of an endpoint: the one of its label and the named
-   * groups listing it.
+   * groups that contain it.
    */
   groupsOf(endpoint: EndpointState): Iterable<EndpointGroup> {
     return this.memberships.get(endpoint) ?? [];
--- a/packages/core/src/scheduling/endpoint_health.ts
+++ b/packages/core/src/scheduling/endpoint_health.ts
@@ -1,6 +1,7 @@
 /**
- * Whether an endpoint may receive new work. It is leaving as soon as any source
- * says so; after failures it is suspected and retried with exponential backoff.
+ * Tracks whether an endpoint may receive new work. It is leaving as soon as any
+ * source reports it; after failures it is suspected and retried with exponential
+ * backoff.
  */
 
 import type {EndpointInfo, LoadReport} from '@radishyoke/shared/endpoint';
--- a/packages/core/src/scheduling/endpoint_pool.ts
+++ b/packages/core/src/scheduling/endpoint_pool.ts
@@ -1,6 +1,7 @@
 /**
- * The endpoints of one group. Usable endpoints are indexed so that choosing one
- * takes the same time for any group size: a few random candidates are compared.
+ * Chooses among the endpoints of one group. Usable endpoints are indexed so that a
+ * choice takes the same time for any group size: a few random candidates are
+ * compared.
  */
 
 import type {EndpointId} from '@radishyoke/shared/ids';
--- a/packages/core/src/scheduling/endpoint_state.ts
+++ b/packages/core/src/scheduling/endpoint_state.ts
@@ -1,4 +1,4 @@
-/** The state of one endpoint as one VM sees it. */
+/** Stores the state of one endpoint as one VM observes it. */
 
 import type {EndpointInfo, LoadReport} from '@radishyoke/shared/endpoint';
 import type {EndpointId, VmId} from '@radishyoke/shared/ids';
@@ -41,7 +41,7 @@
   pendingPromptTokens = 0;
   /** The suspect running on the endpoint; no second suspect is sent there. */
   suspect?: RunningSuspect;
-  /** Whether no requests are sent there, as its suspect is isolated. */
+  /** Whether its suspect is isolated, so that no other requests are sent there. */
   isIsolated = false;
   private readonly peers = new Map<VmId, number>();
   private peerTotal = 0;
@@ -136,8 +136,8 @@
     if (this.isIsolated) return false;
     const limit = this.limit.limit;
     if (workClass === 'interactive') {
-      // The reserve serves occasional requests from any VM. Peers' load is known
-      // with a delay, so this VM's interactive requests may always use it.
+      // The reserve serves occasional requests from any VM. Peers' load is
+      // reported with a delay, so this VM's interactive requests may always use it.
       const reserve = measureReserve(limit);
       return this.running.interactive < reserve || this.totalInFlight < limit;
     }
--- a/packages/core/src/scheduling/failure.ts
+++ b/packages/core/src/scheduling/failure.ts
@@ -1,4 +1,4 @@
-/** The ways in which one attempt on an endpoint can end. */
+/** Defines the ways in which one attempt on an endpoint can end. */
 
 import type {TokenSpan} from '@radishyoke/shared/rollout';
 
--- a/packages/core/src/scheduling/fair_queue.ts
+++ b/packages/core/src/scheduling/fair_queue.ts
@@ -1,7 +1,7 @@
 /**
- * The queue of one endpoint group and one work class: fair among tenants by
- * cost; within a tenant ordered by priority, items started before, earliest
- * deadline and highest cost.
+ * Implements the queue of one endpoint group and one work class. It is fair among
+ * tenants by cost; within a tenant, work items are ordered by priority, then those
+ * started before, then by earliest deadline and highest cost.
  */
 
 import type {TenantId} from '@radishyoke/shared/ids';
@@ -36,7 +36,7 @@
 }
 
 /**
- * Tenants without queued entries are kept, with their virtual times, while
+ * Tenants without queued entries are retained, with their virtual times, while
  * there are at most this many tenants.
  */
 const MAX_IDLE_TENANTS = 1000;
--- a/packages/core/src/scheduling/naive_scheduler.ts
+++ b/packages/core/src/scheduling/naive_scheduler.ts
@@ -1,6 +1,7 @@
 /**
- * A minimal scheduler as a baseline for comparisons: round robin over the live
- * endpoints of a group, no queue, and failed requests restarted from the beginning.
+ * Implements a minimal scheduler as a baseline for comparisons: it uses the live
+ * endpoints of a group round robin, has no queue, and restarts failed requests from
+ * the beginning.
  */
 
 import type {EndpointInfo} from '@radishyoke/shared/endpoint';
--- a/packages/core/src/scheduling/policy_options.ts
+++ b/packages/core/src/scheduling/policy_options.ts
@@ -1,4 +1,4 @@
-/** Feature switches with which experiments compare scheduling policies. */
+/** Defines the options with which experiments compare scheduling policies. */
 
 export interface PolicyOptions {
   /** Starts a second attempt when one shows no progress. */
--- a/packages/core/src/scheduling/policy_scheduler.ts
+++ b/packages/core/src/scheduling/policy_scheduler.ts
@@ -1,5 +1,5 @@
 /**
- * The default scheduler: fair queues per endpoint group, adaptive concurrency
+ * Implements the default scheduler: fair queues per endpoint group, adaptive concurrency
  * limits, endpoints compared by expected completion time, retries by a fixed
  * table, straggler migration, and staleness bounds enforced from queueing to
  * delivery. This module routes each event to the part that handles it.
--- a/packages/core/src/scheduling/random_bits.ts
+++ b/packages/core/src/scheduling/random_bits.ts
@@ -1,4 +1,4 @@
-/** Seeded pseudo-random numbers, so that decisions can be reproduced. */
+/** Generates seeded pseudo-random numbers, so that decisions can be reproduced. */
 
 /** Returns the next 32 random bits as an unsigned integer. */
 export type RandomBits = () => number;
--- a/packages/core/src/scheduling/random_set.ts
+++ b/packages/core/src/scheduling/random_set.ts
@@ -1,4 +1,4 @@
-/** A set that picks a random member in constant time. */
+/** Implements a set that picks a random member in constant time. */
 
 import {pickRandomBelow, RandomBits} from './random_bits.js';
 
--- a/packages/core/src/scheduling/scheduler.ts
+++ b/packages/core/src/scheduling/scheduler.ts
@@ -1,5 +1,5 @@
 /**
- * The interface of all schedulers: they receive events and return actions, and
+ * Defines the interface of all schedulers. They receive events and return actions,
  * do no I/O and read no clock. The daemon, tests and experiments drive the same
  * implementations.
  */
--- a/packages/core/src/scheduling/scheduler_state.ts
+++ b/packages/core/src/scheduling/scheduler_state.ts
@@ -1,6 +1,6 @@
 /**
- * State shared by the parts of the scheduler: work items, endpoints, estimates
- * about both, and the actions emitted while the current event is handled.
+ * Stores the state that the parts of the scheduler share: work items, endpoints,
+ * estimates about both, and the actions emitted for the current event.
  */
 
 import type {SchedulerAction, SchedulerConfig, WorkItem} from './scheduler.js';
--- a/packages/core/src/scheduling/staleness_bounds.ts
+++ b/packages/core/src/scheduling/staleness_bounds.ts
@@ -1,4 +1,4 @@
-/** Staleness bounds: the oldest weight version that each step still accepts. */
+/** Stores staleness bounds: the oldest weight version that each step accepts. */
 
 /** Maximum number of steps stored; the least recently raised are dropped. */
 const MAX_STEPS = 10_000;
--- a/packages/core/src/scheduling/token_bucket.ts
+++ b/packages/core/src/scheduling/token_bucket.ts
@@ -1,4 +1,4 @@
-/** A token bucket; the current time is passed as an argument. */
+/** Implements a token bucket that gets the current time as an argument. */
 
 export class TokenBucket {
   private tokens: number;
--- a/packages/core/src/scheduling/work_completion.ts
+++ b/packages/core/src/scheduling/work_completion.ts
@@ -219,7 +219,7 @@
 
   /**
    * Stops and retries an attempt whose output is older than the bound, as it
-   * can not become fresh again.
+   * cannot become fresh again.
    */
   private restartStale(attempt: Attempt): void {
     const {work, endpoint} = attempt;
--- a/packages/core/src/scheduling/work_dispatcher.ts
+++ b/packages/core/src/scheduling/work_dispatcher.ts
@@ -102,8 +102,8 @@
 
   /**
    * Runs at most one suspect per endpoint and sends nothing else there until the
-   * suspect shows output some time after its start, so that a crash before that
-   * can be attributed to it.
+   * suspect produces output after the minimum isolation time, so that an earlier
+   * crash can be attributed to it.
    */
   private dispatchQuarantined(group: EndpointGroup): void {
     const waiting = group.quarantined;
--- a/packages/core/src/scheduling/work_queues.ts
+++ b/packages/core/src/scheduling/work_queues.ts
@@ -1,6 +1,7 @@
 /**
  * Tracks where each waiting work item is: in its group's queue, quarantined,
- * parked for weights, delayed for a retry, or held by a cap of its tenant or step.
+ * parked for lack of an eligible endpoint, delayed for a retry, or held by the cap
+ * of its tenant or step.
  */
 
 import type {EndpointGroup} from './endpoint_directory.js';
@@ -11,7 +12,7 @@
 
 /**
  * Parked work items of a group that are queued again per scan; a large step may
- * be parked as a whole.
+ * be parked completely.
  */
 const MAX_UNPARKED_PER_SCAN = 200;
 
@@ -102,8 +103,8 @@
   }
 
   /**
-   * Counts an attempt as ended and queues the next work item that its tenant's
-   * and its step's cap held.
+   * Counts an attempt as ended and queues the next work item that waits for its
+   * tenant's cap and the next that waits for its step's cap.
    */
   recordEnd(work: WorkState): void {
     const {tenant, stepKey} = work.item;
@@ -142,7 +143,7 @@
     }
   }
 
-  /** Updates the target of each step and queues held samples that now fit. */
+  /** Updates the target of each step and queues held samples within it. */
   updateStepTargets(): void {
     const {pace} = this.state;
     for (const stepKey of pace.stepKeys) {
--- a/packages/core/src/scheduling/work_state.ts
+++ b/packages/core/src/scheduling/work_state.ts
@@ -1,4 +1,4 @@
-/** The scheduler's state of one work item and its attempts. */
+/** Stores the scheduler's state of one work item and its attempts. */
 
 import type {RadishyokeError} from '@radishyoke/shared/error_kind';
 import type {EndpointId, TenantId} from '@radishyoke/shared/ids';
@@ -46,7 +46,7 @@
   | 'held_by_step'
   /** Suspected of crashes: waits for an endpoint without another suspect. */
   | 'quarantined'
-  /** Waits for the delay before its retry. */
+  /** Waits until its retry is due. */
   | 'delayed'
   | 'running'
   | 'over';
--- a/packages/core/src/scheduling/work_timers.ts
+++ b/packages/core/src/scheduling/work_timers.ts
@@ -1,4 +1,4 @@
-/** Timers of work items, ordered by due time. */
+/** Stores timers of work items and returns those that are due. */
 
 import {BinaryHeap} from './binary_heap.js';
 import type {WorkState} from './work_state.js';
--- a/packages/core/src/usage/report_tracker.ts
+++ b/packages/core/src/usage/report_tracker.ts
@@ -1,8 +1,8 @@
 /**
- * Tracks which windows have been decided and which the platform has received,
- * according to the log. The first decision for a window counts, so a holder
- * that takes over, or one that got no response, sends exactly the same counts
- * again.
+ * Tracks for which windows usage reports have been decided and which of them the
+ * platform has received, according to the log. The first decision for a window
+ * counts, so a lease holder that takes over, or one that got no response, sends
+ * exactly the same counts again.
  */
 
 import type {ReportRecord, UsageReport} from './usage_record.js';
--- a/packages/core/src/usage/usage_ledger.ts
+++ b/packages/core/src/usage/usage_ledger.ts
@@ -1,4 +1,4 @@
-/** Sums the counts of all VMs by window. */
+/** Sums the usage counts of all VMs by window and account. */
 
 import type {AccountCounts, UsageEntry} from './usage_record.js';
 
--- a/packages/core/src/usage/usage_record.ts
+++ b/packages/core/src/usage/usage_record.ts
@@ -1,6 +1,6 @@
 /**
- * Records of usage in the log: the counts that each VM writes, and the reports
- * that are decided from them. A window is a span of real time, numbered from
+ * Defines the usage records in the log: the counts that each VM writes, and the
+ * reports that are decided from them. A window is a span of real time, numbered from
  * the start of 1970.
  */
 
--- a/packages/core/src/usage/usage_tally.ts
+++ b/packages/core/src/usage/usage_tally.ts
@@ -1,4 +1,4 @@
-/** Requests that one VM has counted and not yet appended to the log. */
+/** Counts the requests of one VM until the counts are appended to the log. */
 
 import {findWindow, type UsageCount} from './usage_record.js';
 
