--- a/packages/bench/src/log_outage.ts
+++ b/packages/bench/src/log_outage.ts
@@ -77,8 +77,8 @@
   }
 
   tick(nowMs: number): void {
-    const holds = this.log.holds({lease: LEASE, fencing: this.fencing});
-    if (this.policy === 'stop' && !holds) return this.cancelAll(nowMs);
+    const holdsLease = this.log.holds({lease: LEASE, fencing: this.fencing});
+    if (this.policy === 'stop' && !holdsLease) return this.cancelAll(nowMs);
     for (const [sample, startedAtMs] of this.running) {
       if (nowMs - startedAtMs < getGenerationMs(sample)) continue;
       this.running.delete(sample);
--- a/packages/bench/src/main.ts
+++ b/packages/bench/src/main.ts
@@ -24,8 +24,8 @@
   .action(async (options: StepsOptions) => {
     const {runStepsInThreads} = await import('./steps_threads.js');
     const {runHerding} = await import('./herding.js');
-    const {seeds, case: only, deployment} = options;
-    await runStepsInThreads({seeds, case: only, deployment}, print);
+    const {seeds, case: caseName, deployment} = options;
+    await runStepsInThreads({seeds, case: caseName, deployment}, print);
     for (const line of runHerding()) print(line);
   });
 
--- a/packages/bench/src/overhead_worker.ts
+++ b/packages/bench/src/overhead_worker.ts
@@ -74,8 +74,8 @@
 const listenAddress =
   kind === 'service' ? startService(backEnd) : startBaseline(backEnd);
 
-process.on('message', async question => {
-  process.send!(question === 'address' ? await listenAddress : readCpuUs());
+process.on('message', async query => {
+  process.send!(query === 'address' ? await listenAddress : readCpuUs());
 });
 process.once('disconnect', () => process.exit());
 
--- a/packages/fakes/src/__tests__/engine_model.spec.ts
+++ b/packages/fakes/src/__tests__/engine_model.spec.ts
@@ -37,8 +37,8 @@
   const alone = measureDuration(1);
   t.is(alone, 100 * 0.05 + 100 * (8 + 0.25));
   // The first of 16 runs its first iteration alone and ends one before the others.
-  const full = 4 * (8 + 0.25 * 16);
-  t.is(measureDuration(16), 5 + 4 * 8.25 + 24 * full + 4 * 11.75);
+  const fullIterationMs = 4 * (8 + 0.25 * 16);
+  t.is(measureDuration(16), 5 + 4 * 8.25 + 24 * fullIterationMs + 4 * 11.75);
   const queued = measureDuration(2, {maxBatch: 1, cacheTokens: 0});
   t.is(queued, 2 * alone);
   const slowed = measureDuration(1, {}, model => model.setSlowFactor(3));
--- a/packages/fakes/src/__tests__/log_model.spec.ts
+++ b/packages/fakes/src/__tests__/log_model.spec.ts
@@ -44,11 +44,11 @@
     fc.property(fc.array(fc.nat(200), {maxLength: 200}), delays => {
       const model = new LogModel({appendsPerSecond: limit});
       let nowMs = 0;
-      const taken: number[] = [];
+      const acceptedAtMs: number[] = [];
       for (const delayMs of delays) {
         nowMs += delayMs;
         const answer = model.append('state', [1], nowMs);
-        if (answer.kind === 'appended') taken.push(nowMs);
+        if (answer.kind === 'appended') acceptedAtMs.push(nowMs);
         else {
           const later = model.append('state', [1], nowMs + answer.retryAfterMs);
           nowMs += answer.retryAfterMs;
@@ -57,11 +57,13 @@
             'appended',
             'an append after retryAfterMs is accepted',
           );
-          taken.push(nowMs);
+          acceptedAtMs.push(nowMs);
         }
       }
-      for (const [i, startMs] of taken.entries()) {
-        const inSecond = taken.slice(i).filter(ms => ms < startMs + 1000);
+      for (const [i, startMs] of acceptedAtMs.entries()) {
+        const inSecond = acceptedAtMs
+          .slice(i)
+          .filter(ms => ms < startMs + 1000);
         t.true(inSecond.length <= 2 * limit);
       }
     }),
--- a/packages/fakes/src/__tests__/naive_log.ts
+++ b/packages/fakes/src/__tests__/naive_log.ts
@@ -22,12 +22,12 @@
 
   /** Returns the records from `from` on; undefined if that offset has expired. */
   read(from: number, max: number, nowMs: number) {
-    const kept = this.all.filter(
+    const retained = this.all.filter(
       r =>
         r.offset >= this.all.length - this.retainRecords &&
         r.timeMs >= nowMs - this.retainMs,
     );
-    this.oldest = Math.max(this.oldest, kept[0]?.offset ?? this.all.length);
+    this.oldest = Math.max(this.oldest, retained[0]?.offset ?? this.all.length);
     if (from < this.oldest) return undefined;
     return this.all.filter(r => r.offset >= from).slice(0, max);
   }
--- a/packages/fakes/src/fake_engine.ts
+++ b/packages/fakes/src/fake_engine.ts
@@ -148,7 +148,7 @@
       case 'GET orders':
         return sendJson(res, 200, this.model.describeOrders(Date.now()));
       case 'POST orders':
-        return this.takeOrder(req, res);
+        return this.handleOrder(req, res);
       case 'GET kv':
         return this.exportKv(second, res);
       case 'PUT kv':
@@ -202,7 +202,7 @@
     this.readers.resume(id, from, res, nowMs);
   }
 
-  private async takeOrder(
+  private async handleOrder(
     req: http.IncomingMessage,
     res: http.ServerResponse,
   ): Promise<void> {
--- a/packages/fakes/src/prefix_cache.ts
+++ b/packages/fakes/src/prefix_cache.ts
@@ -51,7 +51,8 @@
 
   /** Counts the tokens of the prompt that need no prefill. */
   countCached(prompt: PromptShape): number {
-    if (this.entries.has(promptEntryKey(prompt))) return prompt.promptTokens;
+    if (this.entries.has(createPromptEntryKey(prompt)))
+      return prompt.promptTokens;
     return this.entries.has(prompt.prefixKey) ? countPrefix(prompt) : 0;
   }
 
@@ -60,7 +61,7 @@
     const prefixTokens = countPrefix(prompt);
     const restTokens = prompt.promptTokens - prefixTokens;
     // The rest is useless without its prefix, so it must be evicted first.
-    this.put(promptEntryKey(prompt), restTokens, false, nowMs);
+    this.put(createPromptEntryKey(prompt), restTokens, false, nowMs);
     this.put(prompt.prefixKey, prefixTokens, true, nowMs);
     while (this.tokens > this.options.cacheTokens) this.evictOldest(nowMs);
   }
@@ -121,6 +122,6 @@
   return Math.min(PREFIX_TOKENS, prompt.promptTokens);
 }
 
-function promptEntryKey(prompt: PromptShape): string {
+function createPromptEntryKey(prompt: PromptShape): string {
   return `prompt:${prompt.promptKey}`;
 }
