--- a/packages/bench/src/__tests__/capacity.spec.ts
+++ b/packages/bench/src/__tests__/capacity.spec.ts
@@ -7,8 +7,8 @@
   readSheet,
 } from '../capacity_sheet.js';
 
-// Operators rely on the page to know that the design scales to the size they expect.
-// A figure that was not recomputed after a change would mislead them.
+// Guards against figures on the page that were not recomputed after a change: they
+// would mislead operators about the sizes to which the design scales.
 test('every figure of docs/CAPACITY.md follows from the recorded slopes', t => {
   const rows = readSheet(readCapacityPage());
   const values = evaluateSheet(rows, readRecordedSlopes());
--- a/packages/bench/src/__tests__/outage_takeover.spec.ts
+++ b/packages/bench/src/__tests__/outage_takeover.spec.ts
@@ -37,12 +37,12 @@
   return lease !== undefined && task.state.leases.isHeld(lease, nowMs);
 }
 
-// After a log outage, all steps change owner and finished samples are generated
-// again, though no VM failed.
+// Guards against a log outage after which all steps change owner and finished samples
+// are generated again, although no VM failed.
 // 1. The log is down for a minute, so no session can be renewed.
 // 2. When the log recovers, every session has expired by the log's time.
 // 3. The quickest VM claims the leases before the owners' renewals arrive.
-// Cause: a session that expired during an outage was taken for a failed VM.
+// Cause: a session that expired during an outage was mistaken for a failed VM.
 test('a live holder keeps its lease over an outage, and a stopped holder loses it', async t => {
   for (let extraMs = 0; extraMs < 2000; extraMs += 100) {
     await runOutage(t, OUTAGE_MS + extraMs);
--- a/packages/bench/src/__tests__/steps.spec.ts
+++ b/packages/bench/src/__tests__/steps.spec.ts
@@ -17,9 +17,9 @@
   }).run();
 }
 
-// Engine faults lose a trainer's rollouts or deliver overly stale ones.
+// Guards against trainers that lose rollouts or get overly stale ones.
 // 1. Engines crash every minute, or one keeps old weights, over several steps.
-// 2. The scheduler wrongly gives up a sample, or keeps output that is too stale.
+// 2. The scheduler must neither give up a sample nor deliver output that is too stale.
 for (const name of ['crash_a_minute', 'swap_fails']) {
   test(`all rollouts arrive within the staleness limit under ${name}`, t => {
     const result = run(name);
--- a/packages/bench/src/drill_load.ts
+++ b/packages/bench/src/drill_load.ts
@@ -90,7 +90,7 @@
   readonly cutOff: number;
   /** Orders that ran more than once. */
   readonly doubled: number;
-  /** Orders that a service ran although the caller was told they had not run. */
+  /** Orders that a service ran although the response said that they had not run. */
   readonly falseRefusals: number;
   /** Calls without a successful response after all retries. */
   readonly failed: number;
--- a/packages/bench/src/herding.ts
+++ b/packages/bench/src/herding.ts
@@ -1,7 +1,6 @@
 /**
- * Measures herding: ten routers share a set of engines and read the same outdated
- * load reports. Does an engine that was reported idle receive all requests until
- * its next report?
+ * Measures herding: whether ten routers that read the same outdated load reports
+ * send all requests to the engine that was reported idle, until its next report.
  */
 
 import {createRandomBits} from '@radishyoke/core/scheduling/random_bits';
--- a/packages/bench/src/overhead.ts
+++ b/packages/bench/src/overhead.ts
@@ -33,7 +33,7 @@
 /** Query from the parent to a measured process. */
 type WorkerQuery = 'address' | 'cpu';
 
-/** Measures both alternately for several rounds and compares the medians. */
+/** Measures the service and the proxy alternately and compares the medians of all rounds. */
 export async function measureOverhead(): Promise<OverheadFigures> {
   const backEnd = await startBackEnd();
   const baseline = await startMeasuredProcess('baseline', backEnd.address);
--- a/packages/bench/src/physical_bound.ts
+++ b/packages/bench/src/physical_bound.ts
@@ -1,5 +1,5 @@
 /**
- * A lower bound of the idle time under any scheduler. A step can't end before its
+ * Computes a lower bound of the idle time under any scheduler. A step can't end before its
  * longest sample has run without other load, nor before fully loaded engines have
  * generated all its tokens. Where steps of several trainers overlap, the step with
  * the fewest tokens left is served first, which minimizes the total idle time.
--- a/packages/bench/src/slopes.ts
+++ b/packages/bench/src/slopes.ts
@@ -1,7 +1,7 @@
 /**
  * Measures what each role of the service costs per unit of its load, for
  * docs/CAPACITY.md. Bytes and counts don't depend on the machine. Processor times
- * do, but they count this process only, whatever else runs.
+ * do, but don't include the time of other processes.
  */
 
 import {runDecide} from './decide.js';
--- a/packages/bench/src/slopes_endpoints.ts
+++ b/packages/bench/src/slopes_endpoints.ts
@@ -1,4 +1,4 @@
-/** Costs of endpoints and of the VM list for one VM, per endpoint. */
+/** Measures what endpoints and the VM list cost one VM, per endpoint. */
 
 import http from 'node:http';
 import {PolicyScheduler} from '@radishyoke/core/scheduling/policy_scheduler';
--- a/packages/bench/src/slopes_log.ts
+++ b/packages/bench/src/slopes_log.ts
@@ -1,7 +1,7 @@
 /**
- * Costs of the state derived from the log: bytes per record, processor time to fold
- * one and memory of the folded state, and from these the appends and bytes per
- * second of a current and of a future deployment.
+ * Measures the state derived from the log: bytes per record, processor time to fold
+ * a record and memory of the folded state. Computes from these figures the appends
+ * and bytes per second of a current and of a future deployment.
  */
 
 import {setFlagsFromString} from 'node:v8';
@@ -25,7 +25,7 @@
   StateRecord,
 } from '@radishyoke/shared/log_record';
 
-/** Expected load of a deployment, as far as it reaches the log. */
+/** Expected load of a deployment that affects the log. */
 export interface LogLoad {
   readonly vms: number;
   readonly trainers: number;
--- a/packages/bench/src/slopes_peers.ts
+++ b/packages/bench/src/slopes_peers.ts
@@ -1,4 +1,4 @@
-/** Costs of membership and peer messages for one VM, by the number of VMs. */
+/** Measures what membership and peer messages cost one VM, by the number of VMs. */
 
 import {MembershipNetwork} from '@radishyoke/core/simulation/membership_network';
 import type {VmInfo} from '@radishyoke/shared/endpoint';
--- a/packages/bench/src/slopes_rules.ts
+++ b/packages/bench/src/slopes_rules.ts
@@ -1,4 +1,4 @@
-/** Costs of routing rules for one VM, per rule. */
+/** Measures what routing rules cost one VM, per rule. */
 
 import {parseRuleText} from '@radishyoke/core/rules/rule_text';
 import {compileRules, resolveRule} from '@radishyoke/core/rules/rule_matcher';
--- a/packages/bench/src/slopes_streams.ts
+++ b/packages/bench/src/slopes_streams.ts
@@ -1,4 +1,4 @@
-/** Processor time that an owner spends per chunk of an engine's output stream. */
+/** Measures the processor time that an owner spends per chunk of an engine's stream. */
 
 import {Readable} from 'node:stream';
 import {Dispatcher} from 'undici';
--- a/packages/bench/src/steps_case.ts
+++ b/packages/bench/src/steps_case.ts
@@ -62,7 +62,10 @@
   {name: 'flood', floodSamples: 400},
 ];
 
-/** Load from trainers and apps. The random output lengths have a long tail. */
+/**
+ * Load from trainers and apps. Apps send plain requests and hints, which are short
+ * generations. The random output lengths of samples have a long tail.
+ */
 export const WORKLOAD = {
   trainers: 3,
   stepsPerTrainer: 4,
--- a/packages/bench/src/steps_simulation.ts
+++ b/packages/bench/src/steps_simulation.ts
@@ -47,7 +47,9 @@
 export interface SimulationResult {
   readonly idleMs: number;
   readonly staleness: readonly number[];
+  /** Latencies of the plain requests of apps. */
   readonly appMs: readonly number[];
+  /** Latencies of the generations of apps. */
   readonly hintMs: readonly number[];
   readonly generatedTokens: number;
   readonly deliveredTokens: number;
--- a/packages/fakes/src/fake_log.ts
+++ b/packages/fakes/src/fake_log.ts
@@ -33,7 +33,7 @@
 /** A running log. */
 export interface FakeLog extends HttpStandIn {
   readonly faults: FaultPlan<LogFault>;
-  /** The records themselves, for tests that bypass the HTTP interface. */
+  /** The log without its HTTP interface, for tests that access the records directly. */
   readonly model: LogModel;
 }
 
--- a/packages/fakes/src/named_pipe.ts
+++ b/packages/fakes/src/named_pipe.ts
@@ -1,6 +1,6 @@
 /**
  * A named pipe that a process reads as a file. The process blocks when it opens
- * the pipe, so a test knows how far it has got and can act before it continues.
+ * the pipe, so a test knows which point it has reached and can act before it continues.
  */
 
 import {execFileSync} from 'node:child_process';
