--- a/packages/daemon/src/gateway/log_sink.ts
+++ b/packages/daemon/src/gateway/log_sink.ts
@@ -7,7 +7,7 @@
 
 import {write} from 'node:fs';
 
-/** Maximum size of the buffered lines, characters; about one second at the highest load measured. */
+/** Maximum size of the buffered lines, characters; about one second of lines at peak load. */
 const MAX_WAITING_CHARS = 512 * 1024;
 /** Lines are buffered this long before a write, ms. One write costs about as much as ten lines. */
 const BUFFER_MS = 100;
