--- a/packages/core/src/simulation/log_fixtures.ts
+++ b/packages/core/src/simulation/log_fixtures.ts
@@ -20,16 +20,16 @@
 export const STEP = toStepId('s1');
 export const TEAM = toTeamId('kodkutu');
 
-/** A record's own fields, without the stamp that its writer adds. */
+/** The fields of a record without the stamp that its writer adds. */
 export type Unstamped<T> = T extends unknown ? Omit<T, 'stamp'> : never;
 export type StateBody = Unstamped<StateRecord>;
 
-/** A writer's stamp. */
+/** Creates the stamp of record `seq` of the writer on `vm`. */
 export function createStamp(vm: string, seq: number): Stamp {
   return {vm: toVmId(vm), incarnation: toIncarnationId('i1'), seq};
 }
 
-/** A stream in the making: counts offsets and each writer's numbers. */
+/** Builds a stream: assigns offsets, and sequence numbers per writer. */
 export class RecordFixture<T extends {readonly stamp: Stamp}> {
   readonly records: Array<LoggedRecord<T>> = [];
   private readonly seqs = new Map<string, number>();
@@ -48,7 +48,7 @@
   }
 }
 
-/** The opening of a step with one group of `samples` samples. */
+/** Creates a record that opens a step with one group of `samples` samples. */
 export function openStep(samples: number, step = STEP): StateBody {
   return {
     kind: 'step_opened',
@@ -78,7 +78,7 @@
   };
 }
 
-/** A publication by `author` whose text names `revision`. */
+/** Creates a record that publishes `text` on top of version `basedOn`. */
 export function publishConfig(
   basedOn: number,
   text: string,
--- a/packages/core/src/simulation/log_schedule.ts
+++ b/packages/core/src/simulation/log_schedule.ts
@@ -1,6 +1,7 @@
 /**
  * Runs a schedule of appends, lost answers, pauses, crashes and outages over
- * several VMs, one trainer, operators and an app, and tells which promises broke.
+ * several VMs, one trainer, operators and an app, and returns which guarantees
+ * were violated.
  */
 
 import {isDeepStrictEqual} from 'node:util';
@@ -16,7 +17,7 @@
   type ScheduleWorld,
 } from './schedule_vm.js';
 
-/** One step of a schedule: what happens, and to whom or how much. */
+/** One operation of a schedule: its code, and which VM or how much it affects. */
 export type ScheduleOp = readonly [code: number, arg: number];
 
 const VM_NAMES = ['a', 'b', 'c'] as const;
@@ -33,7 +34,7 @@
   'refused',
 ];
 
-/** The trainer's side as docs/design/ledger.md asks for it. */
+/** A trainer that follows the protocol of docs/design/ledger.md. */
 class ScheduleTrainer {
   readonly received = new Map<number, string>();
   readonly violations: string[] = [];
@@ -42,7 +43,7 @@
 
   constructor(private readonly guard: MissingGuard) {}
 
-  /** Takes an owner's number; false when a newer owner was seen. */
+  /** Records an owner's fencing number; false if a newer owner was seen. */
   admitOwner(fencing: number): boolean {
     if (this.guard === 'trainer_fencing') return true;
     if (fencing < this.highestFencing) return false;
@@ -60,7 +61,7 @@
   }
 }
 
-/** One run. */
+/** One execution of a schedule. */
 class ScheduleRun {
   private readonly world: ScheduleWorld;
   private readonly vms: ScheduleVm[];
@@ -158,7 +159,7 @@
     }
   }
 
-  /** A VM's ordinary turn, of which `choice` leaves parts out. */
+  /** Runs a VM's usual cycle; the bits of `choice` leave out parts of it. */
   private runUsualCycle(index: number, choice: number): void {
     const vm = this.vms[index]!;
     const isIncluded = (part: number) => (choice >> part) % 2 === 0;
@@ -173,7 +174,7 @@
     if (isIncluded(5)) this.read(index, Infinity);
   }
 
-  /** Ends all faults, lets the VMs finish, and names the broken promises. */
+  /** Ends all faults, lets the VMs finish, and returns all violations. */
   finish(): readonly string[] {
     this.isOutage = false;
     for (const vm of this.vms) vm.paused = false;
@@ -219,7 +220,7 @@
     }
   }
 
-  /** Messages of one owner stay in order; those of two may cross. */
+  /** Delivers one message: each owner's arrive in order, two owners' may interleave. */
   private deliver(choice: number): void {
     const owners = [...new Set(this.inFlight.map(m => m.fencing))];
     const fencing = owners[choice % Math.max(1, owners.length)];
@@ -228,7 +229,7 @@
     if (message !== undefined) this.trainer.receive(message);
   }
 
-  /** Retention: what the last whole checkpoint covers may go. */
+  /** Applies retention: drops the records that the last complete checkpoint covers. */
   private dropExpired(): void {
     const {state} = this.world;
     const parts = new Map<string, number>();
@@ -310,7 +311,10 @@
     }
   }
 
-  /** Every VM holds what a reader of the whole stream holds; one owner a time. */
+  /**
+   * Checks that every VM has the state of a reader of the full stream, and that
+   * no accepted record comes from a former owner.
+   */
   private checkFolds(): void {
     const fold = createFold(this.world.guard);
     let owner = -1;
@@ -337,7 +341,7 @@
   }
 }
 
-/** Runs one schedule and returns the promises that broke; empty when all held. */
+/** Runs one schedule and returns the violated guarantees; empty if none. */
 export function runSchedule(
   ops: readonly ScheduleOp[],
   guard: MissingGuard = 'none',
@@ -347,6 +351,6 @@
   return run.finish();
 }
 
-/** The last code, of a VM's ordinary turn, stands for all higher ones too. */
+/** Codes above 17 all run a VM's usual cycle, which makes it more frequent. */
 export const SCHEDULE_OP_CODES = 26;
 export const SCHEDULE_ARG_MAX = 255;
--- a/packages/core/src/simulation/membership_network.ts
+++ b/packages/core/src/simulation/membership_network.ts
@@ -1,4 +1,4 @@
-/** Several membership state machines over one in-memory message queue. */
+/** Simulates several membership state machines over an in-memory message queue. */
 
 import type {VmInfo} from '@radishyoke/shared/endpoint';
 import {toDataCentreId, toVmId, VmId} from '@radishyoke/shared/ids';
@@ -18,7 +18,7 @@
 
 const TICK_MS = 100;
 
-/** Stands for all records before `next`. */
+/** Creates a transfer that represents all records before offset `next`. */
 function createTransfer(next: number): ConfigTransfer {
   const clock = {nowMs: 0, lastRawMs: 0};
   return {kind: 'snapshot', snapshot: {next, clock, writers: [], teams: []}};
@@ -39,11 +39,13 @@
   machine: Membership;
   isUp: boolean;
   pausedUntilMs: number;
-  /** Deliveries that wait for the end of a pause. */
+  /** Events that arrived during a pause, to be handled when it ends. */
   readonly queuedEvents: MembershipEvent[];
   configNext: number;
   vms: readonly VmId[];
+  /** Actions that the network only records. */
   readonly otherActions: MembershipAction[];
+  /** Messages sent so far. */
   sentCount: number;
 }
 
@@ -58,9 +60,9 @@
 export class MembershipNetwork {
   nowMs = 1_000_000;
   readonly nodes: readonly Node[];
-  /** Directed pairs whose open connection went silent; a new one works. */
+  /** Directed pairs whose open connection loses all messages until it is reopened. */
   readonly silentConnections = new Set<string>();
-  /** Whether two VMs can reach one another at all. */
+  /** Whether messages from `a` can reach `b` at all. */
   canReach: (a: VmInfo, b: VmInfo) => boolean = () => true;
   /** Called with each message that is sent. */
   onMessage: (message: GossipMessage) => void = () => undefined;
@@ -96,7 +98,7 @@
     this.handleEvent(node, {kind: 'vm_list', vms});
   }
 
-  /** Makes this share of the open connections silent, one way. */
+  /** Silences this share of the open connections, each in one direction. */
   silenceConnections(percent: number): void {
     for (const a of this.nodes) {
       for (const b of a.machine.listNeighbours()) {
--- a/packages/core/src/simulation/schedule_log.ts
+++ b/packages/core/src/simulation/schedule_log.ts
@@ -1,13 +1,13 @@
-/** The log and the network before it, as a schedule drives them. */
+/** The log, and the network between it and its writers, under a schedule's control. */
 
 import type {LoggedRecord, Stamp} from '@radishyoke/shared/log_record';
 
-/** What a schedule lets happen to one append. */
+/** What happens to one append. */
 export type AppendOutcome =
   | 'answered'
-  /** Takes effect; the writer hears nothing. */
+  /** Takes effect, but the writer gets no answer. */
   | 'answer_lost'
-  /** Takes effect at some later time; the writer hears nothing. */
+  /** Takes effect later; the writer gets no answer. */
   | 'delayed'
   | 'refused';
 
@@ -15,10 +15,10 @@
   readonly stamp: Stamp;
 }
 
-/** One stream with every record it ever took. */
+/** One stream with every record ever appended. */
 export class ScheduleLog<T extends Stamped> {
   readonly records: Array<LoggedRecord<T>> = [];
-  /** Retention has dropped what lies below. */
+  /** Offset of the oldest record that retention has not dropped. */
   oldest = 0;
   private readonly delayed: T[][] = [];
 
@@ -28,7 +28,7 @@
     }
   }
 
-  /** Sends an append on its way; returns whether the writer hears that it stands. */
+  /** Sends an append; returns whether the writer gets its acknowledgement. */
   send(values: readonly T[], outcome: AppendOutcome, timeMs: number): boolean {
     if (outcome === 'refused') return false;
     if (outcome === 'delayed') {
@@ -39,7 +39,7 @@
     return outcome === 'answered';
   }
 
-  /** Lets a delayed append take effect. */
+  /** Applies the oldest delayed append. */
   deliverDelayed(timeMs: number): void {
     const values = this.delayed.shift();
     if (values !== undefined) this.append(values, timeMs);
@@ -51,14 +51,17 @@
 }
 
 /**
- * A writer with the discipline of the platform's LogWriter, without its timers:
- * unsettled records are sent again under their old numbers.
+ * Follows the protocol of the platform's `LogWriter`, without its timers: records
+ * without an acknowledgement are sent again under the same sequence numbers.
  */
 export class ScheduleWriter<T extends Stamped> {
   readonly pending: Array<{readonly value: T; isAcknowledged: boolean}> = [];
   private seq = 0;
 
-  /** `forgetsLost` takes a lost answer for a failure: the fault to be caught. */
+  /**
+   * `dropsUnacknowledged` treats a lost answer as a failed append, a fault that
+   * the checks must detect.
+   */
   constructor(
     private readonly log: ScheduleLog<T>,
     private readonly stamp: Omit<Stamp, 'seq'>,
@@ -72,7 +75,7 @@
     return value;
   }
 
-  /** Sends what waits; returns the records that it gives up as failed. */
+  /** Sends all unacknowledged records; returns those that it drops as failed. */
   flush(outcome: AppendOutcome, timeMs: number): readonly T[] {
     const batch = this.pending.filter(entry => !entry.isAcknowledged);
     if (batch.length === 0) return [];
@@ -85,6 +88,7 @@
     return values;
   }
 
+  /** Removes this writer's records up to `stamp`, which was read from the log. */
   settle(stamp: Stamp): void {
     const {vm, incarnation} = this.stamp;
     if (stamp.vm !== vm || stamp.incarnation !== incarnation) return;
--- a/packages/core/src/simulation/schedule_vm.ts
+++ b/packages/core/src/simulation/schedule_vm.ts
@@ -1,4 +1,4 @@
-/** One VM of a schedule: folds, writers and a small owner of the one step. */
+/** One VM of a schedule: its folds and writers, and a minimal owner of the only step. */
 
 import {
   toEndpointId,
@@ -25,11 +25,11 @@
 import {type ScheduleLog, ScheduleWriter} from './schedule_log.js';
 
 export const SESSION_TTL_MS = 6000;
-/** Part of the ttl for which a holder believes in its own lease. */
+/** Share of the TTL for which a holder treats its own lease as valid. */
 const LOCAL_VALIDITY_SHARE = 0.9;
 const LEASE = buildStepLeaseName(`${TENANT}/${STEP}`);
 
-/** A guard that a schedule runs without, to show that it is missed. */
+/** A guard that is disabled to show that the checks detect its absence. */
 export type MissingGuard =
   | 'none'
   | 'log_fencing'
@@ -38,7 +38,7 @@
   | 'lost_answer'
   | 'carried_claims';
 
-/** What a VM sends to the trainer: one rollout. */
+/** A message from a VM to the trainer with one sample. */
 export interface SampleDelivery {
   readonly fencing: number;
   readonly cursor: number;
@@ -46,20 +46,20 @@
   readonly text: string;
 }
 
-/** What a schedule shares between its VMs. */
+/** The state that all VMs of a schedule share. */
 export interface ScheduleWorld {
   readonly state: ScheduleLog<StateRecord>;
   readonly config: ScheduleLog<ConfigRecord>;
   readonly sampleCount: number;
   readonly guard: MissingGuard;
   nowMs: number;
-  /** Times that each request id was run. */
+  /** How often each request id was run. */
   readonly runCounts: Map<string, number>;
-  /** Texts of publications whose operator was told that they failed. */
+  /** Texts of publications that were reported to the operator as failed. */
   readonly reportedFailed: Set<string>;
 }
 
-/** Builds a fold; without fencing when that is the guard left out. */
+/** Creates a fold, without its fencing check if that is the missing guard. */
 export function createFold(
   guard: MissingGuard,
   snapshot?: StateSnapshot,
@@ -72,20 +72,20 @@
   return fold;
 }
 
-/** A live VM. A restart is another instance with another incarnation. */
+/** A VM process. A restart creates another instance with another incarnation. */
 export class ScheduleVm {
   paused = false;
   fold: StateFold;
   config = new ConfigHistory(() => undefined);
-  /** Whether it has read to the end of both streams since it started. */
+  /** Whether it has reached the end of both streams since it started. */
   ready = false;
   readonly stateWriter: ScheduleWriter<StateRecord>;
   private readonly configWriter: ScheduleWriter<ConfigRecord>;
   private readonly generatedTexts = new Map<string, string>();
   private validUntilMs = 0;
-  /** When each renewal was handed to the writer, by its number. */
+  /** When each renewal was given to the writer, by its sequence number. */
   private readonly renewalSentAtMs = new Map<number, number>();
-  /** Set while the trainer is connected: its cursor, under which number. */
+  /** Set once the trainer has connected: the fencing number and the last cursor sent. */
   private trainerLink:
     {readonly fencing: number; sentCursor: number} | undefined;
   private publications = 0;
@@ -114,15 +114,15 @@
     );
   }
 
-  /** Fencing number under which the log names this VM the owner. */
+  /** The fencing number if the log shows this VM as the owner. */
   get fencing(): number | undefined {
     const lease = this.fold.leases.find(LEASE);
-    const own =
+    const isOwn =
       lease?.vm === this.name && lease.incarnation === this.incarnation;
-    return own && !lease.released ? lease.fencing : undefined;
+    return isOwn && !lease.released ? lease.fencing : undefined;
   }
 
-  /** As `fencing`, while the VM's own clock says that nobody can have followed. */
+  /** `fencing` while, by the VM's own clock, no other VM can have taken over. */
   get validFencing(): number | undefined {
     return this.world.nowMs < this.validUntilMs ? this.fencing : undefined;
   }
@@ -186,7 +186,7 @@
     });
   }
 
-  /** Generates one sample that has no winner yet and proposes it. */
+  /** Generates one sample, unless one was committed, and proposes it for commit. */
   generate(sample: number): void {
     const fencing = this.validFencing;
     const step = this.step;
@@ -210,7 +210,7 @@
     });
   }
 
-  /** The trainer connects and tells its cursor; returns the owner's number. */
+  /** Connects the trainer at its cursor; returns the owner's fencing number. */
   connect(cursor: number): number | undefined {
     const fencing = this.validFencing;
     if (fencing === undefined) return undefined;
@@ -231,7 +231,10 @@
     if (cursor >= (this.step?.lastCursor ?? 0)) this.closeIfDone(fencing);
   }
 
-  /** Hands over the next winners, in the order of their cursors. */
+  /**
+   * Sends the next committed samples in cursor order. A sample whose text was
+   * generated by another process can't be sent; it is voided and generated again.
+   */
   sendSamples(): readonly SampleDelivery[] {
     const {trainerLink} = this;
     const fencing = this.validFencing;
--- a/packages/fakes/src/__tests__/child_processes.spec.ts
+++ b/packages/fakes/src/__tests__/child_processes.spec.ts
@@ -4,7 +4,10 @@
 
 const MODULE = new URL('../child_processes.js', import.meta.url).href;
 
-/** A process that starts one that would run for ever, and says so; both hold its output open. */
+/**
+ * Source of a process that starts a child that never ends by itself, then writes
+ * `started`. The child inherits its output, so both hold it open.
+ */
 const PARENT = `
   import {spawn} from 'node:child_process';
   import {endWithParent} from '${MODULE}';
@@ -15,9 +18,8 @@
 
 const SIGNALS = ['SIGTERM', 'SIGINT', 'SIGHUP'] as const;
 
-// VMs of a soak go on for hours after it was interrupted.
-// 1. A command starts processes; a signal ends it in the middle.
-// 2. Nobody ends its children: by default they outlive it.
+// Guards against VMs that run for hours after their soak was interrupted: when a
+// signal ends a process, Node.js leaves its children running by default.
 for (const signal of SIGNALS) {
   test(`children end with a parent that gets ${signal}`, async t => {
     const args = ['--input-type=module', '-e', PARENT];
@@ -29,7 +31,7 @@
     parent.kill(signal);
     const [code] = await once(parent, 'exit');
     t.true(code > 128);
-    // It closes when the last process that can write to it is gone.
+    // The pipe closes once all processes that can write to it have ended.
     await closed;
   });
 }
--- a/packages/fakes/src/__tests__/completion_request.spec.ts
+++ b/packages/fakes/src/__tests__/completion_request.spec.ts
@@ -31,7 +31,7 @@
   {requiredKeys: []},
 );
 
-/** What `decode` gives; undefined when it answers 400. Anything else throws. */
+/** Returns the result of `decode`, undefined if it throws 400; rethrows other errors. */
 function tryDecode<T>(decode: () => T): T | undefined {
   try {
     return decode();
@@ -43,7 +43,7 @@
 
 const isCount = (value: number) => Number.isSafeInteger(value) && value >= 0;
 
-test('a body is refused with 400 or read to counts and names', t => {
+test('a body is refused with 400 or decoded to valid counts and ids', t => {
   let accepted = 0;
   fc.assert(
     fc.property(bodyArb, body => {
@@ -60,10 +60,10 @@
     }),
     PARAMETERS,
   );
-  t.true(accepted > 100, 'the bodies reach past the checks');
+  t.true(accepted > 100, 'enough bodies pass the validation');
 });
 
-test('an exported state of any bytes is refused with 400 or read', t => {
+test('arbitrary bytes as an exported state are refused with 400 or decoded', t => {
   const stateArb = fc.record({promptTokens: fieldArb, outputTokens: fieldArb});
   const bytesArb = fc.oneof(
     fc.uint8Array().map(bytes => Buffer.from(bytes)),
--- a/packages/fakes/src/__tests__/engine_contract.ts
+++ b/packages/fakes/src/__tests__/engine_contract.ts
@@ -1,4 +1,4 @@
-/** What an engine's HTTP interface must do, faults included. */
+/** Tests of an engine's HTTP interface, with and without faults. */
 
 import {loadReportSchema} from '@radishyoke/shared/endpoint';
 import test, {ExecutionContext} from 'ava';
@@ -15,7 +15,7 @@
 const TOKENS = 40;
 const SHORT_TIMEOUT_MS = 150;
 
-/** Starts an engine; those under test differ in how they are run. */
+/** Starts an engine; implementations run it in different ways. */
 export type StartEngine = (options: FakeEngineOptions) => Promise<FakeEngine>;
 
 interface FaultCase {
@@ -23,17 +23,17 @@
   readonly fault?: EngineFault;
   readonly options?: FakeEngineOptions;
   readonly prompt?: string;
-  /** Whether the caller gives up early, as nothing comes. */
+  /** Whether the caller gives up early because no answer comes. */
   readonly hasShortTimeout?: boolean;
-  /** Undefined when no answer begins. */
+  /** Undefined if no answer begins. */
   readonly status?: number;
   readonly done: boolean;
-  /** How the engine's books say that it ended; undefined when it never ran. */
+  /** How the run ended by the engine's run history; undefined if it never ran. */
   readonly end?: RunEnd;
 }
 
 const FAULT_CASES: readonly FaultCase[] = [
-  {name: 'calm', status: 200, done: true, end: 'finished'},
+  {name: 'no fault', status: 200, done: true, end: 'finished'},
   {
     name: 'slow',
     fault: {kind: 'slow', factor: 2},
@@ -72,7 +72,7 @@
   {name: 'no room', options: {maxWaiting: 0}, status: 429, done: false},
 ];
 
-/** Registers the contract's tests for one way of running an engine. */
+/** Registers the tests for one way of running an engine. */
 export function testEngine(label: string, start: StartEngine): void {
   async function startFor(
     t: ExecutionContext,
@@ -107,7 +107,7 @@
       t.is(readTokens(SEED, after.text)?.tokens, TOKENS);
     });
 
-  test(`${label}: a cancelled request ends, and again does no harm`, async t => {
+  test(`${label}: a cancelled request ends, and cancelling again changes nothing`, async t => {
     const {engine, url} = await startFor(t, {decodeBaseMs: 1000});
     const read = complete(url, 'a');
     await waitUntil(() => engine.listRuns().length === 1);
@@ -120,7 +120,7 @@
     t.is(engine.listRuns()[0].end, 'cancelled');
   });
 
-  test(`${label}: a hang generates nothing, and all once it has ended`, async t => {
+  test(`${label}: nothing is generated during a hang, and everything after it`, async t => {
     const {engine, url} = await startFor(t);
     engine.faults.set({kind: 'hang'});
     const read = complete(url, 'a');
@@ -173,7 +173,7 @@
     t.deepEqual(engine.listRuns()[0].spans[0], spans[0]);
   });
 
-  test(`${label}: orders tell what became of them`, async t => {
+  test(`${label}: orders are answered by their outcome`, async t => {
     const {engine, url} = await startFor(t, {fetchMs: 0, swapMs: 0});
     t.is((await order(url, {fencing: 5, version: 2})).status, 202);
     const stale = await order(url, {fencing: 4, version: 3});
@@ -195,7 +195,7 @@
     });
   });
 
-  test(`${label}: load and cache events are told`, async t => {
+  test(`${label}: load and cache events are reported`, async t => {
     const lags = {loadLagMs: 0, cacheEventLagMs: 0, cacheEventGapEvery: 0};
     const {url} = await startFor(t, lags);
     await complete(url, 'a');
@@ -215,7 +215,7 @@
   readonly isEnough?: IsEnough;
 }
 
-/** Asks for a completion; undefined when no answer begins. */
+/** Requests a completion; undefined if no answer begins. */
 async function complete(
   url: string,
   id: string,
@@ -232,7 +232,7 @@
   }
 }
 
-/** Asks again while the engine is down. */
+/** Requests a completion again until the engine answers. */
 async function completeWhenUp(url: string, id: string): Promise<Received> {
   for (;;) {
     const received = await complete(url, id);
--- a/packages/fakes/src/__tests__/engine_fixtures.ts
+++ b/packages/fakes/src/__tests__/engine_fixtures.ts
@@ -1,8 +1,8 @@
-/** Requests, and readers of an engine's streams, for the tests of engines. */
+/** Requests and a reader of event streams for tests of engines. */
 
 import {EngineRequest} from '../engine_event.js';
 
-/** One request to `EngineModel`. */
+/** Creates a request to `EngineModel`. */
 export function createRequest(
   id: string,
   changes: Partial<EngineRequest> = {},
@@ -20,7 +20,7 @@
   };
 }
 
-/** The body of `POST /v1/completions`. */
+/** Creates the body of `POST /v1/completions`. */
 export function createBody(id: string, changes: object = {}): string {
   return JSON.stringify({
     model: 'tutor',
@@ -33,20 +33,20 @@
   });
 }
 
-/** What came out of one event stream. */
+/** What was received from one event stream. */
 export interface Received {
   readonly status: number;
   readonly text: string;
   readonly tokens: number;
-  /** Whether `[DONE]` came. */
+  /** Whether `[DONE]` was received. */
   readonly done: boolean;
   readonly finishReason: string | null;
 }
 
-/** Tells from all tokens so far and the last version whether to stop reading. */
+/** Decides from the tokens so far and the last weight version whether to stop reading. */
 export type IsEnough = (tokens: number, weightVersion: number) => boolean;
 
-/** Reads an event stream until it ends, breaks, or `isEnough` says so. */
+/** Reads an event stream until it ends, breaks, or `isEnough` returns true. */
 export async function receive(
   url: string,
   init: RequestInit = {},
@@ -70,12 +70,12 @@
       if (isEnough(tokens, chunk.weight_version)) break;
     }
   } catch {
-    // The connection broke; what came before it counts.
+    // The connection broke; what was received before is returned.
   }
   return {status: res.status, text, tokens, done, finishReason};
 }
 
-/** The data of each event; leaving the loop closes the connection. */
+/** Yields the data of each event; ending the iteration closes the connection. */
 async function* readEvents(res: Response): AsyncGenerator<string> {
   const decoder = new TextDecoder();
   let rest = '';
--- a/packages/fakes/src/__tests__/engine_model.spec.ts
+++ b/packages/fakes/src/__tests__/engine_model.spec.ts
@@ -10,7 +10,7 @@
 
 type Chunk = Extract<EngineEvent, {kind: 'chunk'}>;
 
-/** Advances from event to event; returns all events until `untilMs`. */
+/** Advances the model one event at a time; returns all events until `untilMs`. */
 function run(model: EngineModel, untilMs: number): EngineEvent[] {
   const events: EngineEvent[] = [];
   while (model.nextEventAtMs() <= untilMs)
@@ -19,7 +19,7 @@
   return events;
 }
 
-/** Ms until the last of `count` equal requests has ended. */
+/** Returns the time until the last of `count` equal requests has finished, ms. */
 function measureDuration(
   count: number,
   options: Partial<EngineOptions> = {},
@@ -33,10 +33,10 @@
   return Math.max(...chunks.filter(c => c.finishReason).map(c => c.atMs));
 }
 
-test('service time grows with batch, prompt and slowness', t => {
+test('service time grows with batch size, prompt length and slow factor', t => {
   const alone = measureDuration(1);
   t.is(alone, 100 * 0.05 + 100 * (8 + 0.25));
-  // The first of 16 has its first turn alone and ends a turn before the others.
+  // The first of 16 runs its first iteration alone and ends one before the others.
   const full = 4 * (8 + 0.25 * 16);
   t.is(measureDuration(16), 5 + 4 * 8.25 + 24 * full + 4 * 11.75);
   const queued = measureDuration(2, {maxBatch: 1, cacheTokens: 0});
@@ -45,7 +45,7 @@
   t.is(slowed, 3 * alone);
 });
 
-test('a resumed request prefills its output too, or nothing with its state', t => {
+test('a resumed request prefills its output too, or nothing if its state was imported', t => {
   const measure = (resumeTokens: number, isImported: boolean) => {
     const model = new EngineModel({length: {medianTokens: 100, sigma: 0}});
     const state = {id: 'a', promptTokens: 100, outputTokens: resumeTokens};
@@ -78,15 +78,15 @@
     nowMs = endMs;
     model.advance(nowMs);
   }
-  // `b` leaves no room for `a`.
+  // Caching `b` evicts `a`.
   t.deepEqual(durations, [38, 33, 38, 38]);
   const early = model.listCacheEvents(0, nowMs);
-  t.deepEqual(early.events, [], 'events are late');
+  t.deepEqual(early.events, [], 'events are delayed');
   const shown = model.listCacheEvents(0, nowMs + 1000).events;
   t.true(shown.every(e => e.seq % 3 !== 2) && shown.length > 0);
 });
 
-test('the load report shows the past', t => {
+test('the load report lags by loadLagMs', t => {
   const length = {medianTokens: 1000, sigma: 0};
   const model = new EngineModel({loadLagMs: 500, length});
   model.submit(createRequest('a'), 1000);
@@ -107,7 +107,7 @@
 
 const SWAP_CASES: readonly SwapCase[] = [
   {
-    name: 'calm',
+    name: 'no fault',
     prepare: () => {},
     answers: ['begun', 'stale_fencing'],
     version: 2,
@@ -180,11 +180,11 @@
 );
 
 const scheduleArb = fc.array(fc.tuple(fc.nat(400), actionArb), {maxLength: 60});
-type Schedule = ReadonlyArray<readonly [delayMs: number, step: ModelAction]>;
+type Schedule = ReadonlyArray<readonly [delayMs: number, action: ModelAction]>;
 
 const END_MS = 10_000_000;
 
-/** Plays a schedule; `advance` decides how finely time moves between steps. */
+/** Runs a schedule; `advance` decides in what steps time advances between actions. */
 function runActions(
   schedule: Schedule,
   advance: (model: EngineModel, untilMs: number) => readonly EngineEvent[],
@@ -233,7 +233,7 @@
   }
 }
 
-test('events do not depend on how finely time is advanced', t => {
+test('events do not depend on the steps in which time advances', t => {
   fc.assert(
     fc.property(scheduleArb, schedule => {
       const coarse = runActions(schedule, (model, untilMs) =>
@@ -247,7 +247,7 @@
   );
 });
 
-test('the books hold each token that was streamed, and each run ends once', t => {
+test('the run history has each streamed token, and each run ends once', t => {
   fc.assert(
     fc.property(scheduleArb, schedule => {
       const {events, runs, running} = runActions(schedule, run);
@@ -269,7 +269,7 @@
   readonly spans: ReadonlyArray<{weightVersion: number; tokens: number}>;
 }
 
-/** Joins chunks to runs; a run begins with its token 0. */
+/** Groups chunks into runs; a run begins with token 0. */
 function collectSpans(events: readonly EngineEvent[]): StreamedRun[] {
   const all: StreamedRun[] = [];
   const open = new Map<string, {weightVersion: number; tokens: number}[]>();
--- a/packages/fakes/src/__tests__/fake_engine.spec.ts
+++ b/packages/fakes/src/__tests__/fake_engine.spec.ts
@@ -11,7 +11,7 @@
 const SEED = 7;
 const TOKENS = 60;
 
-/** An engine on which a request of `SEED` takes about 0.3 s. */
+/** Starts an engine that takes about 0.3 s for a request. */
 async function startEngine(
   t: ExecutionContext,
   options: FakeEngineOptions = {},
@@ -34,7 +34,7 @@
   return {engine, url, post, complete};
 }
 
-test('a completion streams the whole text of its seed', async t => {
+test('a completion streams the complete text of its seed', async t => {
   const {engine, complete} = await startEngine(t);
   const received = await complete('a');
   t.like(received, {status: 200, done: true, finishReason: 'stop'});
@@ -43,11 +43,10 @@
   t.like(engine.listRuns()[0], {requestId: 'a', end: 'finished', spans});
 });
 
-// A service is replaced while an engine generates for it.
-// 1. The reader's connection breaks in mid-stream; the engine goes on.
-// 2. The next reader asks for the stream from the token after the last it has.
-// Together they must hold each token once, wherever the break fell.
-test('a stream goes on for another reader without loss or doubling', async t => {
+// A reader's connection breaks in mid-stream, as when its VM is replaced, while the
+// engine continues. The next reader resumes the stream from a given token: together
+// both must get each token once, wherever the connection broke.
+test('another reader resumes a stream without lost or duplicated tokens', async t => {
   const {engine, url, complete} = await startEngine(t);
   const first = await complete('a', tokens => tokens >= 20);
   t.false(first.done);
@@ -80,10 +79,9 @@
     t.is(engine.listRuns().length, 0);
   });
 
-// Weights come from a store that can fail.
-// 1. The engine is ordered to a version and has answered that it began.
-// 2. The store is down, limits fetches, or does not know the version.
-// The engine goes on with the version it has and tells the error.
+// An engine accepts an order to load a version, then the weight store is down,
+// limits fetches or does not have the version. The engine must keep its version and
+// report the error.
 const STORE_CASES: ReadonlyArray<
   readonly [fault: WeightStoreFault | undefined, version: number, ok: boolean]
 > = [
@@ -95,7 +93,7 @@
 ];
 
 for (const [fault, version, ok] of STORE_CASES)
-  test(`version ${version} is fetched, store ${fault?.kind ?? 'calm'}`, async t => {
+  test(`an order for version ${version}, store fault ${fault?.kind ?? 'none'}`, async t => {
     const store = await startFakeWeightStore();
     t.teardown(store.close);
     store.publish('tutor', 2, 100_000);
--- a/packages/fakes/src/__tests__/fake_service.spec.ts
+++ b/packages/fakes/src/__tests__/fake_service.spec.ts
@@ -7,14 +7,14 @@
   readonly name: string;
   readonly fault?: ServiceFault;
   readonly timeoutMs?: number;
-  /** Undefined when no answer comes. */
+  /** Undefined if no answer comes. */
   readonly status?: number;
-  /** Whether the call ran, which the books must tell. */
+  /** How often the call ran, which the service must count. */
   readonly calls: number;
 }
 
 const FAULT_CASES: readonly FaultCase[] = [
-  {name: 'calm', status: 200, calls: 1},
+  {name: 'no fault', status: 200, calls: 1},
   {name: 'slow', fault: {kind: 'slow', factor: 3}, status: 200, calls: 1},
   {name: 'outage', fault: {kind: 'outage'}, status: 503, calls: 0},
   {name: 'broken connections', fault: {kind: 'unreachable'}, calls: 0},
@@ -29,7 +29,7 @@
 ];
 
 for (const c of FAULT_CASES)
-  test(`a call runs or not, ${c.name}`, async t => {
+  test(`a call is answered and counted, ${c.name}`, async t => {
     const service = await startFakeService({serviceTimeMs: 5});
     t.teardown(service.close);
     const url = `http://${service.address}/notes?farm=3`;
@@ -48,7 +48,7 @@
       t.like(await res.json(), {path: '/notes?farm=3', bodyBytes: 4});
   });
 
-test('load is told as for engines', async t => {
+test('load is reported in the format of engines', async t => {
   const service = await startFakeService();
   t.teardown(service.close);
   service.faults.set({kind: 'leaving'});
--- a/packages/fakes/src/__tests__/log_model.spec.ts
+++ b/packages/fakes/src/__tests__/log_model.spec.ts
@@ -12,7 +12,7 @@
   max: fc.integer({min: 1, max: 5}),
 });
 
-test('reads are those of a log that keeps all and filters', t => {
+test('reads are equal to those of the naive log', t => {
   fc.assert(
     fc.property(fc.array(stepArb, {maxLength: 40}), steps => {
       const model = new LogModel({retainRecords: 6, retainMs: 500});
@@ -38,7 +38,7 @@
   );
 });
 
-test('the limit lets no second pass with more than a burst and the rate', t => {
+test('no second has more appends than a burst plus the rate', t => {
   const limit = 10;
   fc.assert(
     fc.property(fc.array(fc.nat(200), {maxLength: 200}), delays => {
@@ -52,7 +52,11 @@
         else {
           const later = model.append('state', [1], nowMs + answer.retryAfterMs);
           nowMs += answer.retryAfterMs;
-          t.is(later.kind, 'appended', 'the retry-after is honest');
+          t.is(
+            later.kind,
+            'appended',
+            'an append after retryAfterMs is accepted',
+          );
           taken.push(nowMs);
         }
       }
--- a/packages/fakes/src/__tests__/naive_log.ts
+++ b/packages/fakes/src/__tests__/naive_log.ts
@@ -1,4 +1,4 @@
-/** The shortest log that is obviously right: keeps all, filters on reading. */
+/** A simple reference log: stores all records and applies retention on reading. */
 
 export interface NaiveRecord {
   readonly offset: number;
@@ -20,7 +20,7 @@
       this.all.push({offset: this.all.length, timeMs, value});
   }
 
-  /** What a read from `from` gives; undefined when that has expired. */
+  /** Returns the records from `from` on; undefined if that offset has expired. */
   read(from: number, max: number, nowMs: number) {
     const kept = this.all.filter(
       r =>
--- a/packages/fakes/src/__tests__/stand_in_fuzz.spec.ts
+++ b/packages/fakes/src/__tests__/stand_in_fuzz.spec.ts
@@ -15,7 +15,7 @@
   readonly body: string;
 }
 
-/** Segments of the stand-ins' paths, and some that are none. */
+/** Valid segments of the stand-ins' paths, and invalid ones. */
 const segmentArb = fc.constantFrom(
   'streams',
   'state',
@@ -69,7 +69,7 @@
   body: bodyArb,
 });
 
-/** Sends a call as it is; `fetch` would tidy its path. */
+/** Sends a call unchanged; `fetch` would normalize its path. */
 function send(address: string, {method, path, body}: Call): Promise<number> {
   const [host, port] = address.split(':');
   return new Promise((resolve, reject) => {
--- a/packages/fakes/src/child_processes.ts
+++ b/packages/fakes/src/child_processes.ts
@@ -1,23 +1,23 @@
 /**
- * Processes that end with the one that started them.
+ * Child processes that end with the process that started them.
  *
- * Node.js leaves its children running when a signal ends it, or an error that
- * nobody caught. It shows as VMs of a soak that was interrupted, which go on for
- * hours and take ports and processor time from whatever runs next.
+ * Node.js leaves its children running when a signal or an uncaught error ends
+ * it. The VMs of an interrupted soak would run for hours and take ports and
+ * processor time from later runs.
  */
 
 import type {ChildProcess} from 'node:child_process';
 import {constants} from 'node:os';
 
-/** Signals by which a person or a script ends a command. */
+/** Signals with which a person or a script ends a command. */
 const TERMINATION_SIGNALS = ['SIGTERM', 'SIGINT', 'SIGHUP'] as const;
-/** What shells add to the number of a signal for the exit code. */
+/** Added to the number of a signal for the exit code, as shells do. */
 const SIGNAL_EXIT_BASE = 128;
 
 const children = new Set<ChildProcess>();
 let hasExitHandlers = false;
 
-/** Kills `child` when this process ends, in whatever way but SIGKILL. */
+/** Kills `child` when this process ends, unless that is by SIGKILL. */
 export function endWithParent(child: ChildProcess): void {
   installExitHandlers();
   children.add(child);
--- a/packages/fakes/src/completion_request.ts
+++ b/packages/fakes/src/completion_request.ts
@@ -1,4 +1,4 @@
-/** Reads the body of `POST /v1/completions` and of `POST /orders`. */
+/** Decodes the bodies of `POST /v1/completions`, `POST /orders` and `PUT /kv/ID`. */
 
 import {createHash} from 'node:crypto';
 import type {EngineOrder, EngineRequest, KvState} from './engine_event.js';
@@ -6,21 +6,21 @@
 
 type JsonObject = Readonly<Record<string, unknown>>;
 
-/** Characters of a prompt that its prefix is told by. */
+/** Characters at the start of a prompt that identify its prefix. */
 const PREFIX_CHARS = 256;
 const CHARS_PER_TOKEN = 4;
 const DIGEST_CHARS = 16;
 const MAX_ID_CHARS = 512;
 
-/** Prompts that hold this crash the engine that generates for them. */
+/** A prompt that contains this text crashes the engine that generates for it. */
 export const POISON_MARK = '[[poison]]';
 
-/** The name of a prompt's beginning in cache events. */
+/** Returns the key that identifies a prompt's prefix in cache events. */
 export function hashPrefix(prompt: string): string {
   return hash(prompt.slice(0, PREFIX_CHARS));
 }
 
-/** Tokens of a prompt, as the engine counts them. */
+/** Counts a prompt's tokens as the engine does. */
 export function countPromptTokens(prompt: string): number {
   return Math.ceil(prompt.length / CHARS_PER_TOKEN);
 }
--- a/packages/fakes/src/engine_event.ts
+++ b/packages/fakes/src/engine_event.ts
@@ -1,24 +1,24 @@
-/** What goes into an engine and what comes out of it. */
+/** The requests, orders, events and answers of an engine. */
 
 import type {PromptShape} from './prefix_cache.js';
 
-/** One request for a completion. */
+/** A request for a completion. */
 export interface EngineRequest extends PromptShape {
   readonly id: string;
-  /** Decides the text and how long it gets. */
+  /** Determines the text and its length. */
   readonly seed: number;
-  /** Bound on the whole output, resumed tokens included. */
+  /** Limit on the complete output, resumed tokens included. */
   readonly maxTokens: number;
-  /** Tokens of the output that are already there. */
+  /** Tokens of the output that were generated elsewhere and came with the request. */
   readonly resumeTokens: number;
-  /** Crashes the engine as soon as it generates. */
+  /** Whether generating for this request crashes the engine. */
   readonly poison: boolean;
 }
 
 export type SubmitAnswer =
   | {readonly kind: 'accepted'; readonly weightVersion: number}
   | {readonly kind: 'full'; readonly retryAfterMs: number}
-  /** A stream with this id is being generated. */
+  /** A stream with this id is waiting or running. */
   | {readonly kind: 'duplicate'}
   | {readonly kind: 'down'};
 
@@ -29,23 +29,23 @@
       readonly kind: 'chunk';
       readonly atMs: number;
       readonly id: string;
-      /** Position of the first token in the whole output. */
+      /** Position of the first token in the complete output. */
       readonly firstToken: number;
       readonly tokens: number;
       readonly weightVersion: number;
-      /** Set on the last chunk of a request, after which nothing follows. */
+      /** Set on the last chunk of a request. */
       readonly finishReason: FinishReason | null;
     }
-  /** The process died; all requests and streams are gone. */
+  /** The process crashed; all requests and streams are lost. */
   | {
       readonly kind: 'crashed';
       readonly atMs: number;
       readonly lostIds: readonly string[];
     }
   | {readonly kind: 'restarted'; readonly atMs: number}
-  /** The stream was dropped, having had no reader for too long. */
+  /** The stream was dropped because it had no reader for too long. */
   | {readonly kind: 'abandoned'; readonly atMs: number; readonly id: string}
-  /** Asks the owner to fetch weights and to call `endFetch`. */
+  /** Asks the owner of the model to fetch the weights and call `endFetch`. */
   | {
       readonly kind: 'fetch_weights';
       readonly atMs: number;
--- a/packages/fakes/src/engine_model.ts
+++ b/packages/fakes/src/engine_model.ts
@@ -1,11 +1,12 @@
 /**
- * A model engine without its HTTP side: continuous batching, prefix cache,
- * weight swaps and crashes on a clock that is passed in. The same requests at
+ * A model engine without its HTTP interface: continuous batching, prefix cache,
+ * weight swaps and crashes, with the time as a parameter. The same requests at
  * the same times give the same events.
  *
- * Requests run in turns. A turn prefills new requests and gives each running
- * one `tokensPerChunk` tokens; its duration grows with both. Requests join, and
- * swaps and crashes happen, between turns.
+ * Requests run in iterations. An iteration prefills new requests and generates
+ * `tokensPerChunk` tokens for each running one; its duration grows with both.
+ * Requests join, swaps begin, and crashes caused by generation happen between
+ * iterations.
  */
 
 import {RunHistory, EngineRun} from './run_history.js';
@@ -42,7 +43,7 @@
   private readonly streams = new Map<string, EngineStream>();
   private readonly running = new Set<EngineStream>();
   private readonly waiting = new Set<EngineStream>();
-  /** Prompt tokens of all that wait. */
+  /** Prompt tokens of all waiting requests. */
   private waitingPromptTokens = 0;
   private readonly imported = new Map<string, KvState>();
   private events: EngineEvent[] = [];
@@ -56,7 +57,7 @@
   private generatedTokens = 0;
   private crashAtTokens = Infinity;
 
-  /** `startMs` is the Unix ms at which it starts, idle. */
+  /** Creates an idle engine that starts at `startMs`, Unix ms. */
   constructor(options: Partial<EngineOptions> = {}, startMs = 0) {
     this.options = {...DEFAULT_ENGINE_OPTIONS, ...options};
     this.clockMs = startMs;
@@ -68,7 +69,7 @@
     this.loadHistory = new LoadHistory(loadLagMs, this.measure(), startMs);
   }
 
-  /** Does all that is due until `nowMs` and returns what happened since the last call. */
+  /** Processes all that is due until `nowMs`; returns the events since the last call. */
   advance(nowMs: number): readonly EngineEvent[] {
     this.advanceTo(nowMs);
     const {events} = this;
@@ -76,12 +77,12 @@
     return events;
   }
 
-  /** When `advance` will next have something to return; Infinity for never. */
+  /** The time at which `advance` next returns an event or changes state; Infinity for never. */
   nextEventAtMs(): number {
     return this.events.length > 0 ? this.clockMs : this.nextDueAtMs();
   }
 
-  /** Takes a request; whoever submits it counts as a reader until `detach`. */
+  /** Submits a request; its submitter counts as a reader until `detach`. */
   submit(req: EngineRequest, nowMs: number): SubmitAnswer {
     this.advanceTo(nowMs);
     if (this.isDown) return {kind: 'down'};
@@ -104,7 +105,7 @@
     return {kind: 'accepted', weightVersion: this.loader.weightVersion};
   }
 
-  /** Stops a request and forgets its stream; false when it is unknown. */
+  /** Stops a request and removes its stream; false if there is none. */
   cancel(id: string, nowMs: number): boolean {
     this.advanceTo(nowMs);
     const stream = this.streams.get(id);
@@ -115,13 +116,13 @@
     return true;
   }
 
-  /** The stream of a request, while it is kept. */
+  /** Finds the stream of a request; undefined once it was removed. */
   findStream(id: string, nowMs: number): EngineStream | undefined {
     this.advanceTo(nowMs);
     return this.streams.get(id);
   }
 
-  /** Counts one more reader, for which the stream is kept. */
+  /** Adds a reader, which prevents the removal of an unfinished stream. */
   attach(id: string, nowMs: number): void {
     const stream = this.findStream(id, nowMs);
     if (stream) stream.readers++;
@@ -154,7 +155,7 @@
     return {id, promptTokens: req.promptTokens, outputTokens};
   }
 
-  /** Keeps a state, so that a request resumed under its id prefills nothing. */
+  /** Stores a state, so that a request resumed under its id needs no prefill. */
   importKv(state: KvState): void {
     this.imported.delete(state.id);
     this.imported.set(state.id, state);
@@ -175,14 +176,14 @@
     return this.loader.describe();
   }
 
-  /** The owner fetched the weights that `fetch_weights` asked for, or failed to. */
+  /** Ends the fetch that `fetch_weights` requested; `error` is set if it failed. */
   endFetch(version: number, error: string | undefined, nowMs: number): void {
     this.advanceTo(nowMs);
     this.loader.endFetch(version, error, nowMs, this.events);
     this.beginIteration(nowMs);
   }
 
-  /** Every request that came, in the order of coming. */
+  /** Lists the runs of all accepted requests, in order of arrival. */
   listRuns(): readonly EngineRun[] {
     return this.runHistory.list();
   }
@@ -195,20 +196,20 @@
     return this.restartAtMs !== Infinity;
   }
 
-  /** Kills the process; it restarts after a while. */
+  /** Crashes the process; it restarts after `restartAfterMs`. */
   crash(nowMs: number): void {
     this.advanceTo(nowMs);
     this.crashNow(nowMs);
   }
 
-  /** Stands still, or goes on: requests are taken, but nothing is generated. */
+  /** Begins or ends a hang, in which requests are accepted but nothing is generated. */
   setHung(isHung: boolean, nowMs: number): void {
     this.advanceTo(nowMs);
     if (isHung) this.hungSinceMs ??= nowMs;
     else this.endHang(nowMs);
   }
 
-  /** Makes every turn that begins from now on take `factor` times as long. */
+  /** Makes all iterations that begin from now on take `factor` times as long. */
   setSlowFactor(factor: number): void {
     this.slowFactor = factor;
   }
@@ -227,12 +228,12 @@
     this.loader.setChecksFencing(checksFencing);
   }
 
-  /** Crashes once it has generated this many more tokens; Infinity for never. */
+  /** Makes it crash after `tokens` more generated tokens; Infinity for never. */
   crashAfterTokens(tokens: number): void {
     this.crashAtTokens = this.generatedTokens + tokens;
   }
 
-  /** Does all steps that are due until `nowMs`, each at its own time. */
+  /** Processes all that is due until `nowMs`, each event at its own time. */
   private advanceTo(nowMs: number): void {
     for (;;) {
       const atMs = this.nextDueAtMs();
@@ -255,7 +256,7 @@
 
   private processDue(nowMs: number): void {
     if (this.restartAtMs <= nowMs) this.restart(nowMs);
-    // The cache holds what the old weights computed, which is of no more use.
+    // Cached states were computed with the old weights and are no longer valid.
     if (this.loader.advance(nowMs, this.events)) this.cache.clear(nowMs);
     if (this.iteration && this.iteration.endsAtMs <= nowMs)
       this.endIteration(nowMs);
@@ -295,7 +296,7 @@
     return req.promptTokens + req.resumeTokens - this.cache.countCached(req);
   }
 
-  /** Prefills as much as one turn may; returns the number of tokens. */
+  /** Prefills as much as one iteration allows; returns the number of tokens. */
   private prefill(): number {
     let budget = this.options.prefillTokensPerIteration;
     for (const stream of this.running) {
@@ -377,7 +378,7 @@
     this.beginIteration(nowMs);
   }
 
-  /** Drops streams that nobody has read for too long. */
+  /** Removes streams that have had no reader for too long. */
   private sweep(nowMs: number): void {
     if (nowMs - this.sweptAtMs < SWEEP_EVERY_MS) return;
     this.sweptAtMs = nowMs;
--- a/packages/fakes/src/engine_options.ts
+++ b/packages/fakes/src/engine_options.ts
@@ -1,39 +1,40 @@
-/** What an engine stand-in is like; every part can be set for an experiment. */
+/** Options of a simulated engine. */
 
 import type {LengthDistribution} from './output_length.js';
 import type {PrefixCacheOptions} from './prefix_cache.js';
 
 export interface EngineOptions extends PrefixCacheOptions {
-  /** Version that the engine runs at first. */
+  /** Weight version at the start. */
   readonly weightVersion: number;
-  /** Requests generated for at once; more wait, first in first out. */
+  /** Largest number of requests in the batch; others wait, first in, first out. */
   readonly maxBatch: number;
-  /** Requests that wait at most; more are refused. */
+  /** Largest number of waiting requests; others are refused. */
   readonly maxWaiting: number;
-  /** Tokens that each running request gets before the batch is formed anew. */
+  /** Tokens generated for each running request in one iteration. */
   readonly tokensPerChunk: number;
   /** Time to prefill one prompt token that is not cached. */
   readonly prefillMsPerToken: number;
-  /** Prompt tokens prefilled at most before generation goes on. */
+  /** Largest number of prompt tokens prefilled in one iteration. */
   readonly prefillTokensPerIteration: number;
-  /** Time for one token of each running request, whatever their number. */
+  /** Fixed part of the time for one token of each running request. */
   readonly decodeBaseMs: number;
-  /** What each running request adds to that. */
+  /** What each running request adds to `decodeBaseMs`. */
   readonly decodeSlopeMs: number;
   readonly length: LengthDistribution;
-  /** How long a stream without readers is kept. */
+  /** How long a stream without readers is retained. */
   readonly streamKeepMs: number;
+  /** Age of the figures in a load report. */
   readonly loadLagMs: number;
-  /** Time that generation stands still while weights are swapped. */
+  /** How long generation pauses to swap weights. */
   readonly swapMs: number;
-  /** Time to fetch weights; `external` leaves the fetch to the owner. */
+  /** Time to fetch weights; `external` if the owner of the model fetches them. */
   readonly fetchMs: number | 'external';
   readonly checksFencing: boolean;
-  /** Time from a crash until it takes requests again. */
+  /** Time from a crash until the engine accepts requests again. */
   readonly restartAfterMs: number;
-  /** The version it comes back with: the first, or the one it had. */
+  /** Weight version after a restart: the one at the start, or the last loaded. */
   readonly restartVersion: 'first' | 'last';
-  /** Runs that the books keep at least. */
+  /** Number of runs that the run history retains at least. */
   readonly maxRuns: number;
 }
 
--- a/packages/fakes/src/engine_readers.ts
+++ b/packages/fakes/src/engine_readers.ts
@@ -1,4 +1,4 @@
-/** The connections that read an engine's streams as server-sent events. */
+/** The connections to which an engine sends its streams as server-sent events. */
 
 import type http from 'node:http';
 import type {EngineEvent, EngineRequest} from './engine_event.js';
@@ -8,7 +8,7 @@
 
 type Chunk = Extract<EngineEvent, {kind: 'chunk'}>;
 
-/** A reader that falls this far behind is cut off. */
+/** A reader with more unsent bytes than this is disconnected. */
 const MAX_UNREAD_BYTES = 1024 * 1024;
 const DONE = 'data: [DONE]\n\n';
 
@@ -22,7 +22,7 @@
 
   constructor(private readonly model: EngineModel) {}
 
-  /** Adds the reader that submitted the request, which the model has counted. */
+  /** Adds the reader that submitted the request; the model has counted it already. */
   add(
     req: EngineRequest,
     weightVersion: number,
@@ -33,8 +33,8 @@
   }
 
   /**
-   * Sends what stream `id` holds from its token `from` on, then what follows.
-   * All events of the model until `nowMs` must have been sent before.
+   * Sends the tokens of stream `id` from its token `from` on, then those that
+   * follow. All events of the model until `nowMs` must have been sent before.
    */
   resume(
     id: string,
@@ -67,7 +67,7 @@
     res.end(DONE);
   }
 
-  /** Stops a request and cuts its readers off. */
+  /** Stops a request and disconnects its readers. */
   cancel(id: string): void {
     this.model.cancel(id, Date.now());
     const readers = this.streams.get(id);
@@ -96,7 +96,7 @@
     if (finishReason !== null) this.streams.delete(id);
   }
 
-  /** Forgets all, their connections being gone. */
+  /** Removes all readers, whose connections are already closed. */
   clear(): void {
     this.streams.clear();
   }
--- a/packages/fakes/src/engine_stream.ts
+++ b/packages/fakes/src/engine_stream.ts
@@ -1,4 +1,4 @@
-/** One request inside an engine, from admission until it is forgotten. */
+/** One request inside an engine, from its submission until it is removed. */
 
 import type {EngineRequest, FinishReason} from './engine_event.js';
 import type {EngineOptions} from './engine_options.js';
@@ -6,15 +6,15 @@
 import {pickOutputTokens} from './output_length.js';
 
 export class EngineStream {
-  /** Tokens of the whole output at its natural or allowed end. */
+  /** Length of the complete output, cut to the request's `maxTokens`. */
   readonly totalTokens: number;
   readonly finishReason: FinishReason;
-  /** Tokens of the output that are there, resumed ones included. */
+  /** Tokens of the output so far, resumed ones included. */
   outputTokens: number;
-  /** Tokens still to be prefilled; set when it is taken into the batch. */
+  /** Tokens still to be prefilled; set when the request joins the batch. */
   prefillTokens = 0;
   readers = 1;
-  /** When it ended or its last reader left. */
+  /** When it finished or a reader last left, Unix ms. */
   unreadSinceMs: number;
   state: 'waiting' | 'running' | 'finished' = 'waiting';
 
@@ -31,7 +31,7 @@
     this.unreadSinceMs = nowMs;
   }
 
-  /** Adds up to `count` tokens made by `version`; returns how many. */
+  /** Generates up to `count` tokens with `version`; returns how many. */
   generate(count: number, version: number): number {
     const left = Math.max(0, this.totalTokens - this.outputTokens);
     const tokens = Math.min(count, left);
@@ -44,7 +44,7 @@
     return this.outputTokens >= this.totalTokens;
   }
 
-  /** Whether it ended or was left by its readers more than `keepMs` ago. */
+  /** Whether it finished or lost its last reader at least `retentionMs` ago. */
   isAbandoned(nowMs: number, retentionMs: number): boolean {
     const isIdle = this.readers === 0 || this.state === 'finished';
     return isIdle && nowMs - this.unreadSinceMs >= retentionMs;
--- a/packages/fakes/src/fake_engine.ts
+++ b/packages/fakes/src/fake_engine.ts
@@ -1,6 +1,6 @@
 /**
- * A model engine over loopback HTTP, as docs/PROTOCOLS.md has it: `EngineModel`
- * on the runtime's clock with its streams as server-sent events.
+ * A model engine over loopback HTTP, as docs/PROTOCOLS.md specifies it: drives
+ * `EngineModel` by the system clock and sends its streams as server-sent events.
  */
 
 import type http from 'node:http';
@@ -30,37 +30,37 @@
 
 export type EngineFault =
   | TransportFault
-  /** Takes this many times as long to generate. */
+  /** Takes `factor` times as long to generate. */
   | {readonly kind: 'slow'; readonly factor: number}
-  /** Takes requests and generates nothing. */
+  /** Accepts requests but generates nothing. */
   | {readonly kind: 'hang'}
-  /** Crashes once it has generated this many more tokens. */
+  /** Crashes after this many more generated tokens. */
   | {readonly kind: 'crash_after_tokens'; readonly tokens: number}
-  /** Does not load versions: answers 500, or fails after it answered 202. */
+  /** Fails to load versions: answers 500, or fails after it has answered 202. */
   | {readonly kind: 'fail_swap'; readonly when?: SwapFailure}
-  /** Takes orders with old fencing numbers. */
+  /** Accepts orders with old fencing numbers. */
   | {readonly kind: 'ignore_fencing'}
-  /** Reports that it leaves. */
+  /** Reports that it is leaving. */
   | {readonly kind: 'leaving'};
 
 /** A running engine. */
 export interface FakeEngine extends HttpStandIn {
   readonly faults: FaultPlan<EngineFault>;
-  /** Every request that came to it, with the versions that made its tokens. */
+  /** Lists the runs of all accepted requests, with the weight versions of their tokens. */
   listRuns(): readonly EngineRun[];
-  /** Runs that `listRuns` no longer holds; 0 unless there were very many. */
+  /** Counts the runs that `listRuns` no longer has; 0 until there are `2 * maxRuns`. */
   countDroppedRuns(): number;
-  /** The version that it generates with now. */
+  /** Returns the weight version that it generates with now. */
   readWeightVersion(): number;
-  /** Kills its process; it takes requests again after `restartAfterMs`. */
+  /** Crashes it; it accepts requests again after `restartAfterMs`. */
   crash(): void;
 }
 
-/** What an engine is started with; port 0 takes a free one. */
+/** Options to start an engine with; port 0 picks a free port. */
 export interface FakeEngineOptions extends Partial<EngineOptions> {
   readonly port?: number;
   readonly model?: string;
-  /** `ip:port` of the store to load versions from; without, they just load. */
+  /** `ip:port` of the weight store; if undefined, fetches are only simulated. */
   readonly weightStoreAddress?: string;
 }
 
@@ -244,7 +244,7 @@
     this.processEvents();
   }
 
-  /** Acts on what the model did and wakes when it next does something. */
+  /** Handles the model's events until `nowMs` and sets a timer for its next one. */
   private processEvents(nowMs = Date.now()): void {
     clearTimeout(this.timer);
     if (this.closed) return;
@@ -279,7 +279,7 @@
     this.processEvents();
   }
 
-  /** Fetches the weights as a whole; returns what went wrong. */
+  /** Fetches the complete weights; returns the error, undefined on success. */
   private async tryFetch(version: number): Promise<string | undefined> {
     const {weightStoreAddress, model = DEFAULT_MODEL} = this.options;
     const path = `/models/${encodeURIComponent(model)}/versions/${version}`;
--- a/packages/fakes/src/fake_log.ts
+++ b/packages/fakes/src/fake_log.ts
@@ -1,4 +1,4 @@
-/** The platform's log over loopback HTTP, as docs/PROTOCOLS.md has it. */
+/** The platform's log over loopback HTTP, as docs/PROTOCOLS.md specifies it. */
 
 import type http from 'node:http';
 import {FaultPlan, TransportFault} from './fault_plan.js';
@@ -23,7 +23,7 @@
   | TransportFault
   /** Replaces the limit on appends. */
   | {readonly kind: 'append_limit'; readonly appendsPerSecond: number}
-  /** Replaces what is kept of each stream; what is dropped stays dropped. */
+  /** Replaces the retention limits; records once dropped stay dropped. */
   | {
       readonly kind: 'retention';
       readonly retainMs?: number;
@@ -33,11 +33,11 @@
 /** A running log. */
 export interface FakeLog extends HttpStandIn {
   readonly faults: FaultPlan<LogFault>;
-  /** The records themselves, for tests that look behind the interface. */
+  /** The records themselves, for tests that bypass the HTTP interface. */
   readonly model: LogModel;
 }
 
-/** What a log is started with; port 0 takes a free one. */
+/** Options to start a log with; port 0 picks a free port. */
 export interface FakeLogOptions extends Partial<LogOptions> {
   readonly port?: number;
 }
@@ -72,7 +72,7 @@
   };
 }
 
-/** The log's own options, with those that a fault replaces. */
+/** Returns the log's options, with the values that active faults replace. */
 function chooseOptions(
   options: FakeLogOptions,
   faults: FaultPlan<LogFault>,
@@ -137,7 +137,7 @@
 class Waiters {
   private readonly wakers = new Map<string, Set<() => void>>();
 
-  /** Resolves on the next `wake`, after `timeoutMs`, or when the reader left. */
+  /** Resolves on the next `wake`, after `timeoutMs`, or when the reader disconnects. */
   wait(
     name: string,
     timeoutMs: number,
--- a/packages/fakes/src/fake_service.ts
+++ b/packages/fakes/src/fake_service.ts
@@ -1,6 +1,6 @@
 /**
  * A plain service over loopback HTTP: answers any method and path, and counts
- * the calls of each caller's request id to show what ran more than once.
+ * the calls per request id, so that tests can detect duplicate runs.
  */
 
 import {createHash} from 'node:crypto';
@@ -21,28 +21,28 @@
 
 export type ServiceFault =
   | TransportFault
-  /** Takes this many times as long. */
+  /** Takes `factor` times as long. */
   | {readonly kind: 'slow'; readonly factor: number}
   /** Answers 500 after the call has run. */
   | {readonly kind: 'fail_calls'}
-  /** Reports that it leaves. */
+  /** Reports that it is leaving. */
   | {readonly kind: 'leaving'};
 
 /** A running plain service. */
 export interface FakeService extends HttpStandIn {
   readonly faults: FaultPlan<ServiceFault>;
-  /** Calls that ran with this id in the request id header. */
+  /** Counts the calls that ran with this request id. */
   countCalls(id: string): number;
-  /** Ids of calls that ran, with the number of times each did. */
+  /** Maps each request id to the number of calls that ran with it. */
   listCalls(): ReadonlyMap<string, number>;
 }
 
-/** What a service is started with; port 0 takes a free one. */
+/** Options to start a service with; port 0 picks a free port. */
 export interface FakeServiceOptions {
   readonly port?: number;
-  /** Time one call takes. */
+  /** Duration of one call. */
   readonly serviceTimeMs?: number;
-  /** Header with the caller's request id, lower case; the service's own by default. */
+  /** Name of the request id header, lower case; `HEADERS.requestId` by default. */
   readonly requestIdHeader?: string;
 }
 
--- a/packages/fakes/src/fake_vm_list.ts
+++ b/packages/fakes/src/fake_vm_list.ts
@@ -1,4 +1,4 @@
-/** The platform's VM list over loopback HTTP, as docs/PROTOCOLS.md has it. */
+/** The platform's VM list over loopback HTTP, as docs/PROTOCOLS.md specifies it. */
 
 import type {EndpointInfo, VmInfo, VmList} from '@radishyoke/shared/endpoint';
 import {FaultPlan, TransportFault} from './fault_plan.js';
@@ -12,7 +12,7 @@
 
 export type VmListFault =
   | TransportFault
-  /** Readers see the list as it was this long ago. */
+  /** Readers get the list as it was `lagMs` ago. */
   | {readonly kind: 'lag'; readonly lagMs: number};
 
 /** A running VM list. */
@@ -24,7 +24,7 @@
   remove(id: string): void;
 }
 
-/** What a VM list is started with; port 0 takes a free one. */
+/** Options to start a VM list with; port 0 picks a free port. */
 export interface FakeVmListOptions {
   readonly port?: number;
   readonly list?: VmList;
--- a/packages/fakes/src/fake_weight_store.ts
+++ b/packages/fakes/src/fake_weight_store.ts
@@ -1,4 +1,4 @@
-/** The weight store over loopback HTTP, as docs/PROTOCOLS.md has it. */
+/** The weight store over loopback HTTP, as docs/PROTOCOLS.md specifies it. */
 
 import type http from 'node:http';
 import {FaultPlan, TransportFault} from './fault_plan.js';
@@ -28,7 +28,7 @@
   publish(model: string, version: number, bytes?: number): void;
 }
 
-/** What a weight store is started with; port 0 takes a free one. */
+/** Options to start a weight store with; port 0 picks a free port. */
 export interface FakeWeightStoreOptions {
   readonly port?: number;
   readonly fetchesPerSecond?: number;
--- a/packages/fakes/src/fault_plan.ts
+++ b/packages/fakes/src/fault_plan.ts
@@ -1,27 +1,28 @@
 /**
- * The faults a stand-in is told to show. A plan holds at most one fault of each
+ * The faults that a stand-in injects. A plan holds at most one fault of each
  * kind; setting a kind again replaces it.
  */
 
-/** Faults of the connection, which every stand-in can show. */
+/** Faults of the connection, which every stand-in supports. */
 export type TransportFault =
-  /** Answers 503 to everything and does nothing. */
+  /** Answers 503 to every request without processing it. */
   | {readonly kind: 'outage'}
-  /** Breaks every connection before anything is done. */
+  /** Breaks the connection of every request without processing it. */
   | {readonly kind: 'unreachable'}
-  /** Does what is asked, then breaks the connection instead of answering. */
+  /** Processes the request, then breaks the connection instead of answering. */
   | {
       readonly kind: 'lose_answers';
-      /** Number of answers still to be lost. */
+      /** Number of answers still to lose. */
       readonly next: number;
       /** Loses answers to this method only; any but GET by default. */
       readonly method?: string;
     }
-  /** Waits before each request is looked at. */
+  /** Waits before it processes each request. */
   | {readonly kind: 'delay'; readonly delayMs: number}
   /**
-   * Connections go silent for good: nothing is read, written or closed. With
-   * `open` only those open now, with `all` also the ones made while this holds.
+   * Connections stay open but never answer again, even after the fault is cleared,
+   * and later requests on them are not processed. `open` affects those open now,
+   * `all` also those made while the fault is set.
    */
   | {readonly kind: 'silent'; readonly connections: 'open' | 'all'};
 
@@ -29,7 +30,7 @@
   readonly kind: string;
 }
 
-/** The faults in force at one stand-in. */
+/** The active faults of one stand-in. */
 export class FaultPlan<F extends Fault> {
   private readonly active = new Map<string, Fault>();
   private readonly listeners: Array<(fault?: Fault) => void> = [];
@@ -39,7 +40,7 @@
     for (const listener of this.listeners) listener(fault);
   }
 
-  /** Ends one kind of fault, or all of them. */
+  /** Clears one kind of fault, or all of them. */
   clear(kind?: F['kind']): void {
     if (kind === undefined) this.active.clear();
     else this.active.delete(kind);
@@ -50,18 +51,18 @@
     return this.active.get(kind) as Extract<F, {kind: K}> | undefined;
   }
 
-  /** The same plan, seen as one of transport faults alone. */
+  /** Returns this plan, typed for transport faults only. */
   asTransport(): FaultPlan<TransportFault> {
     return this as unknown as FaultPlan<TransportFault>;
   }
 
-  /** Calls `listener` after each change, with the fault that was set if one was. */
+  /** Calls `listener` after each change, with the fault if one was set. */
   onChange(listener: (fault?: F) => void): void {
     this.listeners.push(listener as (fault?: Fault) => void);
   }
 }
 
-/** Whether the answer to a request with `method` is to be lost; counts it. */
+/** Returns whether to lose the answer to a `method` request; if so, counts it. */
 export function consumeLostAnswer(
   plan: FaultPlan<TransportFault>,
   method: string,
--- a/packages/fakes/src/http_server.ts
+++ b/packages/fakes/src/http_server.ts
@@ -1,6 +1,6 @@
 /**
- * The HTTP side that all stand-ins share: a loopback server that shows the
- * transport faults of a plan and turns bad bodies into 400.
+ * The HTTP server that all stand-ins share: listens on loopback, injects the
+ * transport faults of a plan and answers 400 to malformed requests.
  */
 
 import http from 'node:http';
@@ -13,14 +13,14 @@
 const KEEP_ALIVE_MS = 60_000;
 const RELISTEN_RETRY_MS = 20;
 
-/** Answers one request; a thrown `HttpFailure` becomes its status. */
+/** Answers one request; a thrown `HttpFailure` determines the answer. */
 export type Handler = (
   req: http.IncomingMessage,
   res: http.ServerResponse,
   url: URL,
 ) => void | Promise<void>;
 
-/** A request that can not be served, as an answer. */
+/** An error with the status and body to answer with. */
 export class HttpFailure extends Error {
   constructor(
     readonly status: number,
@@ -37,7 +37,7 @@
   close(): Promise<void>;
 }
 
-/** A server that can also go away and come back on its port. */
+/** An HTTP server that can stop and listen again on the same port. */
 export class FaultyHttpServer implements HttpStandIn {
   private readonly sockets = new Set<net.Socket>();
   private readonly silenced = new WeakSet<net.Socket>();
@@ -49,7 +49,7 @@
     private readonly faults: FaultPlan<TransportFault>,
   ) {}
 
-  /** Listens on `port` of the loopback interface; 0 takes a free one. */
+  /** Listens on `port` of the loopback interface; 0 picks a free port. */
   static async start(
     handler: Handler,
     faults: FaultPlan<TransportFault>,
@@ -75,16 +75,16 @@
     await this.stopListening();
   }
 
-  /** Breaks all connections and refuses new ones, as a dead process does. */
+  /** Breaks all connections and refuses new ones, like a crashed process. */
   async stopListening(): Promise<void> {
     const closed = new Promise(resolve => this.server.close(resolve));
-    // Silenced sockets have their own `destroy` replaced, hence the prototype's.
+    // `destroy` is replaced on silenced sockets, so the prototype's is called.
     for (const socket of this.sockets)
       net.Socket.prototype.destroy.call(socket);
     await closed;
   }
 
-  /** Takes connections again on the same port. */
+  /** Accepts connections on the same port again. */
   async listenAgain(): Promise<void> {
     while (!this.closed) {
       try {
@@ -153,7 +153,7 @@
   }
 }
 
-/** Makes the first byte of the answer break the connection. */
+/** Makes the first write of the answer break the connection instead. */
 function breakInsteadOfAnswer(res: http.ServerResponse): void {
   res.write = () => {
     res.destroy();
@@ -177,7 +177,6 @@
   sendJson(res, status, {error});
 }
 
-/** Answers with a JSON body. */
 export function sendJson(
   res: http.ServerResponse,
   status: number,
@@ -193,7 +192,7 @@
   res.end(text);
 }
 
-/** Reads a whole body of bounded size. */
+/** Reads a complete body; throws 413 above the size limit. */
 export async function readBody(req: http.IncomingMessage): Promise<Buffer> {
   const chunks: Buffer[] = [];
   let bytes = 0;
@@ -206,7 +205,7 @@
   return Buffer.concat(chunks);
 }
 
-/** Reads a body that must be a JSON object. */
+/** Reads a body that must be a JSON object; throws 400 otherwise. */
 export async function readJsonObject(
   req: http.IncomingMessage,
 ): Promise<Readonly<Record<string, unknown>>> {
@@ -222,7 +221,7 @@
   return value as Readonly<Record<string, unknown>>;
 }
 
-/** Reads a whole number of at least 0 from the query. */
+/** Reads a non-negative integer from the query; throws 400 if it is malformed. */
 export function readCount(url: URL, name: string, fallback: number): number {
   const text = url.searchParams.get(name);
   if (text === null) return fallback;
@@ -232,7 +231,7 @@
   return value;
 }
 
-/** The decoded segments of the path. */
+/** Returns the decoded segments of the path. */
 export function splitPath(url: URL): readonly string[] {
   try {
     return url.pathname.split('/').slice(1).map(decodeURIComponent);
@@ -241,7 +240,7 @@
   }
 }
 
-/** What answers to a path or method that does not exist. */
+/** Creates the answer to an unknown path or method. */
 export function createNotFound(): HttpFailure {
   return new HttpFailure(404, {error: 'not_found'});
 }
--- a/packages/fakes/src/load_history.ts
+++ b/packages/fakes/src/load_history.ts
@@ -1,6 +1,6 @@
-/** An engine's load as its lagging report shows it. */
+/** Recent load of an engine, from which delayed load reports are made. */
 
-/** What the engine does at one moment. */
+/** The engine's load at one moment. */
 export interface LoadFigures {
   readonly running: number;
   readonly waiting: number;
@@ -23,7 +23,7 @@
   readonly tokens: number;
 }
 
-/** Keeps the samples that a report may still show. */
+/** Retains the samples that a report may still need. */
 export class LoadHistory {
   private samples: Sample[];
   /** Samples before this index are no longer needed. */
@@ -46,7 +46,7 @@
     this.first = 0;
   }
 
-  /** The report that a reader gets at `nowMs`. */
+  /** Returns the report at `nowMs`, with figures that are `lagMs` old. */
   report(nowMs: number): EngineLoad {
     const measuredAtMs = nowMs - this.lagMs;
     const {
--- a/packages/fakes/src/log_model.ts
+++ b/packages/fakes/src/log_model.ts
@@ -1,17 +1,17 @@
 /**
- * The platform's log without its HTTP side: streams of records with offsets,
- * retention by count and by age, and one append limit over all streams.
+ * The platform's log without its HTTP interface: streams of records with offsets,
+ * retention by count and by age, and one append rate limit over all streams.
  */
 
 import type {LoggedRecord} from '@radishyoke/shared/log_record';
 
-/** What the log allows and keeps. */
+/** Limits and retention of the log. */
 export interface LogOptions {
-  /** Appends a second over all streams; as many may come in one burst. */
+  /** Appends per second over all streams; also the size of a burst. */
   readonly appendsPerSecond: number;
   /** Records older than this are dropped. */
   readonly retainMs: number;
-  /** Records kept a stream at most. */
+  /** Largest number of records retained per stream. */
   readonly retainRecords: number;
 }
 
@@ -29,7 +29,7 @@
   | {
       readonly kind: 'records';
       readonly oldest: number;
-      /** Where the next read goes on. */
+      /** Offset from which the next read continues. */
       readonly next: number;
       readonly records: ReadonlyArray<LoggedRecord<unknown>>;
     }
@@ -86,14 +86,14 @@
     return {kind: 'records', oldest, next: from + records.length, records};
   }
 
-  /** Drops all records of a stream below `offset`, as retention would. */
+  /** Drops all records of a stream below `offset`, as retention does. */
   dropBelow(name: string, offset: number): void {
     const stream = this.openStream(name);
     const count = Math.min(offset - stream.oldest, stream.records.length);
     if (count > 0) dropOldest(stream, count);
   }
 
-  /** Appends taken so far, over all streams. */
+  /** Counts the accepted appends over all streams. */
   countAppends(): number {
     return this.appends;
   }
@@ -107,7 +107,7 @@
     return stream;
   }
 
-  /** Takes one append from the allowance; else tells when there is one again. */
+  /** Takes one append from the token bucket; returns 0, or the ms until it has one. */
   private takeAllowance(nowMs: number): number {
     const {appendsPerSecond} = this.options;
     const earned =
--- a/packages/fakes/src/mix.ts
+++ b/packages/fakes/src/mix.ts
@@ -1,8 +1,8 @@
-/** Repeatable pseudo-random numbers from a seed, without state. */
+/** Stateless pseudo-random numbers: the same seed and index give the same number. */
 
 const UINT32_RANGE = 2 ** 32;
 
-/** Mixes two whole numbers to an unsigned 32-bit one. */
+/** Hashes two integers to an unsigned 32-bit integer. */
 export function mix32(seed: number, index: number): number {
   let x =
     Math.imul(seed ^ 0x9e3779b9, 0x85ebca6b) + Math.imul(index, 0xc2b2ae35);
@@ -11,7 +11,7 @@
   return (x ^ (x >>> 15)) >>> 0;
 }
 
-/** A number above 0 and below 1. */
+/** Hashes two integers to a number above 0 and below 1. */
 export function mixUnit(seed: number, index: number): number {
   return (mix32(seed, index) + 0.5) / UINT32_RANGE;
 }
--- a/packages/fakes/src/named_pipe.ts
+++ b/packages/fakes/src/named_pipe.ts
@@ -1,7 +1,6 @@
 /**
- * A file that a test hands to a process piece by piece. A process that opens it
- * waits there, so that the test knows how far it has come and can act on it
- * before it goes on.
+ * A named pipe that a process reads as a file. The process blocks when it opens
+ * the pipe, so a test knows how far it has got and can act before it continues.
  */
 
 import {execFileSync} from 'node:child_process';
@@ -18,7 +17,7 @@
 import {setTimeout as sleep} from 'node:timers/promises';
 
 const POLL_MS = 2;
-/** A program that does not read within this time has failed, ms; a busy machine takes seconds to start one. */
+/** How long to wait for a reader, ms: a busy machine takes seconds to start a process. */
 const READER_TIMEOUT_MS = 30_000;
 
 export class NamedPipe {
@@ -31,18 +30,22 @@
     this.createPipe();
   }
 
-  /** Waits until a process reads; it reads on when the function that is returned is called with the text. */
+  /**
+   * Waits until a process opens the pipe. Returns a function that gives it the
+   * text of the file, after which the process continues.
+   */
   async waitForReader(): Promise<(text: string) => void> {
     const untilMs = performance.now() + READER_TIMEOUT_MS;
     let fd = this.openForWriting();
     while (fd === undefined) {
-      if (performance.now() > untilMs) throw new Error('no program reads');
+      if (performance.now() > untilMs)
+        throw new Error('no process opened the pipe');
       await sleep(POLL_MS);
       fd = this.openForWriting();
     }
     const writer = fd;
-    // Who reads next opens another pipe of the same name: a reader that is not
-    // done with this one would be taken for the next.
+    // The next reader must open a new pipe of the same name: on the same pipe, a
+    // reader that has not finished would be mistaken for the next one.
     rmSync(this.path);
     this.createPipe();
     return text => {
@@ -63,7 +66,7 @@
     try {
       return openSync(this.path, constants.O_WRONLY | constants.O_NONBLOCK);
     } catch (err) {
-      // The answer of a pipe that nobody reads.
+      // No process has opened the pipe for reading.
       if ((err as NodeJS.ErrnoException).code === 'ENXIO') return undefined;
       throw err;
     }
--- a/packages/fakes/src/output_length.ts
+++ b/packages/fakes/src/output_length.ts
@@ -1,4 +1,4 @@
-/** How many tokens a request's output has: log-normal, drawn from its seed. */
+/** Lengths of outputs: log-normally distributed, determined by the request's seed. */
 
 import {mixUnit} from './mix.js';
 
@@ -8,11 +8,11 @@
   readonly sigma: number;
 }
 
-// Positions far from those that token checks are drawn from.
+// Negative, so that they differ from the token positions that `writeTokens` hashes.
 const FIRST_RANDOM_INDEX = -1;
 const SECOND_RANDOM_INDEX = -2;
 
-/** Draws the length of the whole output; at least 1. */
+/** Returns the length of the complete output, at least 1 token. */
 export function pickOutputTokens(
   seed: number,
   distribution: LengthDistribution,
--- a/packages/fakes/src/prefix_cache.ts
+++ b/packages/fakes/src/prefix_cache.ts
@@ -1,9 +1,9 @@
 /**
- * An engine's prefix cache: a limited number of tokens, least recently used out
- * first, with a feed of events that is late and has gaps.
+ * An engine's prefix cache: holds a limited number of tokens, evicts the least
+ * recently used, and offers a feed of events that is delayed and has gaps.
  */
 
-/** What a request's prompt can share with earlier ones. */
+/** The properties of a prompt that decide what it shares with earlier ones. */
 export interface PromptShape {
   readonly promptTokens: number;
   /** Equal for prompts with the same beginning. */
@@ -20,19 +20,19 @@
 
 export interface PrefixCacheOptions {
   readonly cacheTokens: number;
-  /** How late events are shown. */
+  /** Delay before an event is listed. */
   readonly cacheEventLagMs: number;
-  /** Every n-th event is never shown; 0 shows all. */
+  /** Every n-th event is never listed; 0 lists all. */
   readonly cacheEventGapEvery: number;
 }
 
-/** Tokens that prompts with the same `prefixKey` have in common, at most. */
+/** Largest number of tokens that prompts with the same `prefixKey` share. */
 export const PREFIX_TOKENS = 64;
 const MAX_EVENTS = 1000;
 
 interface Entry {
   readonly tokens: number;
-  /** Whether this stands for a prefix, whose coming and going is told. */
+  /** Whether this is a prefix, whose caching and eviction are events. */
   readonly isPrefix: boolean;
 }
 
@@ -49,28 +49,28 @@
 
   constructor(private readonly options: PrefixCacheOptions) {}
 
-  /** Tokens of the prompt that need no prefill. */
+  /** Counts the tokens of the prompt that need no prefill. */
   countCached(prompt: PromptShape): number {
     if (this.entries.has(promptEntryKey(prompt))) return prompt.promptTokens;
     return this.entries.has(prompt.prefixKey) ? countPrefix(prompt) : 0;
   }
 
-  /** Marks a prompt as used now and cached from now on. */
+  /** Caches a prompt, or marks it as most recently used. */
   markUsed(prompt: PromptShape, nowMs: number): void {
     const prefixTokens = countPrefix(prompt);
     const restTokens = prompt.promptTokens - prefixTokens;
-    // The rest is of use only after its prefix, so it must be evicted first.
+    // The rest is useless without its prefix, so it must be evicted first.
     this.put(promptEntryKey(prompt), restTokens, false, nowMs);
     this.put(prompt.prefixKey, prefixTokens, true, nowMs);
     while (this.tokens > this.options.cacheTokens) this.evictOldest(nowMs);
   }
 
-  /** Forgets all, as new weights or a crash do. */
+  /** Evicts everything, as after a weight swap or a crash. */
   clear(nowMs: number): void {
     while (this.entries.size > 0) this.evictOldest(nowMs);
   }
 
-  /** The events from `from` on that are already shown at `nowMs`. */
+  /** Lists the events from sequence number `from` on that are visible at `nowMs`. */
   listEvents(
     from: number,
     nowMs: number,
--- a/packages/fakes/src/run_history.ts
+++ b/packages/fakes/src/run_history.ts
@@ -1,6 +1,6 @@
 /**
- * An engine's own account of what it ran, from which lost, doubled or too old
- * rollouts are counted without asking the service.
+ * An engine's own record of its runs. Tests count lost, duplicated and too old
+ * rollouts from it, independently of the service.
  */
 
 import type {TokenSpan} from '@radishyoke/shared/rollout';
@@ -8,17 +8,17 @@
 
 export type RunEnd = 'finished' | 'cancelled' | 'crashed' | 'abandoned';
 
-/** One request as the engine ran it. */
+/** One run of a request on the engine. */
 export interface EngineRun {
   readonly requestId: string;
   readonly seed: number;
-  /** Tokens that came with the request and were not generated here. */
+  /** Tokens that were generated elsewhere and came with the request. */
   readonly resumeTokens: number;
   readonly startedAtMs: number;
   /** Undefined while it runs. */
   readonly endedAtMs?: number;
   readonly end?: RunEnd;
-  /** The versions that generated its tokens, in order. */
+  /** The weight versions that generated its tokens, in order. */
   readonly spans: readonly TokenSpan[];
 }
 
@@ -32,7 +32,7 @@
   readonly spans: Array<{weightVersion: number; tokens: number}>;
 }
 
-/** Keeps the last runs, as many as `maxRuns`. */
+/** Retains at least the last `maxRuns` runs. */
 export class RunHistory {
   private runs: MutableRun[] = [];
   private dropped = 0;
@@ -55,7 +55,7 @@
     return this.runs;
   }
 
-  /** Runs no longer listed; a count over the books holds only while this is 0. */
+  /** Counts the runs no longer listed; totals over `list` are exact only while it is 0. */
   countDropped(): number {
     return this.dropped;
   }
@@ -66,7 +66,7 @@
   }
 }
 
-/** Writes to one run. */
+/** Updates one run of the history. */
 export class RunRecorder {
   constructor(private readonly run: MutableRun) {}
 
--- a/packages/fakes/src/stand_ins.ts
+++ b/packages/fakes/src/stand_ins.ts
@@ -1,4 +1,4 @@
-/** The stand-ins of one deployment on loopback, for demonstrations and drills. */
+/** Stand-ins for all external systems of one deployment, for demonstrations and drills. */
 
 import {FakeEngine, startFakeEngine} from './fake_engine.js';
 import {FakeLog, startFakeLog} from './fake_log.js';
@@ -29,19 +29,19 @@
   readonly serviceTimeMs?: number;
 }
 
-/** Everything outside the service, running. */
+/** The running external systems of a deployment. */
 export interface StandIns {
   readonly log: FakeLog;
   readonly vmList: FakeVmList;
   readonly weightStore: FakeWeightStore;
   readonly engines: ReadonlyMap<string, FakeEngine>;
   readonly services: ReadonlyMap<string, FakeService>;
-  /** Puts an entry VM on the list, as the platform would. */
+  /** Adds an entry VM to the VM list, as the platform does. */
   putVm(vm: VmInfo): void;
   close(): Promise<void>;
 }
 
-/** Starts them all on free ports and fills the VM list with the endpoints. */
+/** Starts all stand-ins on free loopback ports and lists the endpoints in the VM list. */
 export async function startStandIns(
   options: StandInOptions,
 ): Promise<StandIns> {
@@ -102,7 +102,7 @@
   };
 }
 
-/** Publishes a team's first configuration straight to the log. */
+/** Appends a team's first configuration directly to the log. */
 export function publishInitialConfig(
   standIns: StandIns,
   team: string,
--- a/packages/fakes/src/token_text.ts
+++ b/packages/fakes/src/token_text.ts
@@ -1,7 +1,7 @@
 /**
- * The text of generated tokens. A token tells the weight version that made it
- * and a check of seed and position, so that whoever holds a text can tell
- * without asking the service whether it is whole and which versions made it.
+ * The text of generated tokens. A token contains the weight version that
+ * generated it and a checksum of seed and position, so that a test can verify from
+ * the text alone that it is complete, and which versions generated it.
  */
 
 import type {TokenSpan} from '@radishyoke/shared/rollout';
@@ -13,7 +13,7 @@
   return (mix32(seed, index) % CHECK_VALUES).toString(36).padStart(2, '0');
 }
 
-/** Text of `count` tokens from position `first` on, made by `version`. */
+/** Returns the text of `count` tokens of `version` from position `first` on. */
 export function writeTokens(
   seed: number,
   first: number,
@@ -26,15 +26,15 @@
   return text;
 }
 
-/** What a text says of itself. */
+/** What the tokens of a text contain. */
 export interface ParsedTokens {
   readonly tokens: number;
   readonly spans: readonly TokenSpan[];
 }
 
 /**
- * Reads a text that must hold the tokens of `seed` from the first one on;
- * undefined when a token is missing, doubled, or belongs to another request.
+ * Parses a text that must consist of the tokens of `seed` from the first one on;
+ * undefined if a token is missing, duplicated or from another request.
  */
 export function readTokens(
   seed: number,
@@ -51,7 +51,7 @@
   return {tokens: words.length, spans};
 }
 
-/** Adds tokens to the last span, or begins one when the version is another. */
+/** Adds tokens to the last span, or begins a new one if the version differs. */
 export function addToSpans(
   spans: Array<{weightVersion: number; tokens: number}>,
   weightVersion: number,
--- a/packages/fakes/src/vm_list_model.ts
+++ b/packages/fakes/src/vm_list_model.ts
@@ -1,4 +1,4 @@
-/** The platform's VM list without its HTTP side: what it shows lags the truth. */
+/** The platform's VM list without its HTTP interface: readers see it with a delay. */
 
 import type {EndpointInfo, VmInfo, VmList} from '@radishyoke/shared/endpoint';
 
@@ -9,7 +9,7 @@
   readonly list: VmList;
 }
 
-/** The true list and the older ones that readers may still be shown. */
+/** The current list and the older ones that readers may still see. */
 export class VmListModel {
   private snapshots: readonly Snapshot[];
 
@@ -56,7 +56,7 @@
     );
   }
 
-  /** The list as readers see it at `nowMs`. */
+  /** Returns the list as readers see it at `nowMs`. */
   read(nowMs: number): VmList {
     this.dropUnseen(nowMs);
     return this.snapshots[0].list;
--- a/packages/fakes/src/vm_settings.ts
+++ b/packages/fakes/src/vm_settings.ts
@@ -1,13 +1,13 @@
-/** Settings of a VM whose platform is not there, for tests of how it starts and ends. */
+/** Settings of a VM without a reachable platform, for tests of its start and shutdown. */
 
 export interface SingleVmSettings {
-  /** `ip:port` for operators; a free port is taken without. */
+  /** `ip:port` for operators; a free port by default. */
   readonly adminAddress?: string;
-  /** How long a drain waits for the balancer, with a unit. */
+  /** How long a drain waits for the load balancer, with a unit. */
   readonly notice?: string;
 }
 
-/** The text of the settings file; nobody listens at port 1 of the platform. */
+/** Returns the text of the settings file; nothing listens on the platform's port 1. */
 export function createSingleVmSettings({
   adminAddress = '127.0.0.1:0',
   notice = '1ms',
--- a/packages/fakes/src/weight_loader.ts
+++ b/packages/fakes/src/weight_loader.ts
@@ -1,6 +1,6 @@
 /**
- * The part of an engine that takes orders: fencing, the fetch of weights, and
- * when a swap is due. What the engine runs changes only when a swap has ended.
+ * Processes the orders of an engine: checks fencing, fetches weights and times
+ * the swap. The engine's weight version changes only when a swap has ended.
  */
 
 import type {
@@ -11,7 +11,7 @@
 } from './engine_event.js';
 import type {EngineOptions} from './engine_options.js';
 
-/** When an order fails: at once, or after weights were fetched. */
+/** When an order fails: at once, or after the fetch of the weights. */
 export type SwapFailure = 'at_once' | 'later';
 
 type LoadState =
@@ -21,7 +21,7 @@
       readonly version: number;
       readonly endsAtMs: number;
     }
-  /** Weights are there; the swap begins when the batch allows it. */
+  /** The weights are fetched; the swap begins after the current iteration. */
   | {readonly kind: 'ready'; readonly version: number}
   | {
       readonly kind: 'swapping';
@@ -30,7 +30,7 @@
     };
 
 const IDLE: LoadState = {kind: 'idle'};
-/** The highest fencing number before any order. */
+/** The highest fencing number before the first order. */
 const NO_FENCING = -1;
 
 export class WeightLoader {
@@ -50,7 +50,7 @@
     return this.version;
   }
 
-  /** Whether generation stands still for a swap. */
+  /** Whether generation is paused by a swap. */
   get isSwapping(): boolean {
     return this.state.kind === 'swapping';
   }
@@ -96,7 +96,7 @@
     events.push({kind: 'swap_failed', atMs: nowMs, version, detail});
   }
 
-  /** Begins a swap that is due; tells whether generation stands still for it. */
+  /** Begins a swap that is due; returns whether a swap is in progress. */
   beginSwap(nowMs: number): boolean {
     if (this.state.kind === 'ready') {
       const {version} = this.state;
@@ -106,7 +106,7 @@
     return this.isSwapping;
   }
 
-  /** When something happens next by itself. */
+  /** When the current fetch or swap ends; Infinity if there is none. */
   nextEventAtMs(): number {
     const {state} = this;
     return state.kind === 'fetching' || state.kind === 'swapping'
@@ -114,7 +114,7 @@
       : Infinity;
   }
 
-  /** Does what is due at `nowMs`; tells whether the version changed. */
+  /** Ends a fetch or swap that is due; returns whether the version changed. */
   advance(nowMs: number, events: EngineEvent[]): boolean {
     const {state} = this;
     if (this.nextEventAtMs() > nowMs) return false;
@@ -130,7 +130,7 @@
     return true;
   }
 
-  /** Forgets what was under way, as a crash does. */
+  /** Resets everything that a crash loses. */
   reset(): void {
     this.state = IDLE;
     this.lastError = null;
@@ -139,7 +139,7 @@
       this.version = this.options.weightVersion;
   }
 
-  /** Moves what is under way into the future, after a time of standing still. */
+  /** Delays the end of the current fetch or swap, after a hang of `byMs`. */
   postpone(byMs: number): void {
     const {state} = this;
     if (state.kind === 'fetching' || state.kind === 'swapping')
--- a/packages/fakes/src/weight_store_model.ts
+++ b/packages/fakes/src/weight_store_model.ts
@@ -1,6 +1,6 @@
 /**
- * The weight store without its HTTP side: versions a model and a limit on how
- * many fetches may start a second.
+ * The weight store without its HTTP interface: the versions of each model and a
+ * limit on the fetches that may start per second.
  */
 
 /** One published version. */
@@ -42,7 +42,7 @@
     return versions.sort((a, b) => a.version - b.version);
   }
 
-  /** Takes one fetch from the limit. */
+  /** Fetches a version, unless the limit of this second is reached. */
   fetch(model: string, version: number, nowMs: number): FetchAnswer {
     const stored = this.models.get(model)?.get(version);
     if (!stored) return {kind: 'unknown_version'};
@@ -59,7 +59,7 @@
     return {kind: 'weights', bytes: stored.bytes};
   }
 
-  /** Fetches allowed so far. */
+  /** Counts the fetches that were allowed. */
   countFetches(): number {
     return this.fetches;
   }
--- a/tools/compare_plays.mjs
+++ b/tools/compare_plays.mjs
@@ -1,14 +1,14 @@
 /**
- * Plays the days of one site with two checkouts in pairs, the same days and
- * seeds with processor time free, and prints mean differences with their 95 %
- * intervals. A report that is there already is not played again, so a run that
- * was cut goes on where it ended.
+ * Plays the days of one site with two checkouts in pairs of the same day and seed,
+ * without charging processor time, and prints mean differences with 95 % confidence
+ * intervals. Plays whose report exists are skipped, so that an interrupted
+ * comparison continues where it stopped.
  *
  * Usage: node tools/compare_plays.mjs BENCH SITE OUTPUT CHECKOUT_A CHECKOUT_B
  *          [--days NAME|FILE,...] [--seeds N,...] [--jobs N] [--why TEXT]
  *
- * Both checkouts are built before and must not change meanwhile; their entries
- * in journal/ are to be kept.
+ * Both checkouts must be built and must not change meanwhile. Keep the entries that
+ * the plays add to their journal/.
  */
 
 import console from 'node:console';
@@ -21,9 +21,9 @@
 
 const run = promisify(execFile);
 
-/** A play's logs and tables, bytes. */
+/** Limit on the logs and tables that one play prints, bytes. */
 const MAX_OUTPUT = 512 * 1024 * 1024;
-/** Two-sided 95 % of Student's t for 1 to 30 degrees of freedom. */
+/** Two-sided 95 % quantiles of Student's t for 1 to 30 degrees of freedom. */
 const T95 = [
   12.71, 4.3, 3.18, 2.78, 2.57, 2.45, 2.36, 2.31, 2.26, 2.23, 2.2, 2.18, 2.16,
   2.14, 2.13, 2.12, 2.11, 2.1, 2.09, 2.09, 2.08, 2.07, 2.07, 2.06, 2.06, 2.06,
@@ -54,7 +54,7 @@
   return days.map(day => /name = "([^"]+)"/.exec(day)[1]);
 }
 
-/** A day is a name of the site's or a file of its own. */
+/** Names the output files of a play; `day` is a day of the site or a file of its own. */
 function namePlay(side, day, seed) {
   return `${side}-${path.basename(day, '.toml')}-${seed}`;
 }
@@ -67,35 +67,35 @@
   const why = `${values.why} (${side}, ${day}, seed ${seed})`;
   args.push('--log', 'all', '--report', report, '--why', why);
   const options = {cwd: checkout, maxBuffer: MAX_OUTPUT};
-  const told = await run(bench, args, options).catch(err => err);
-  const ages = measureStaleness(`${told.stdout ?? ''}${told.stderr ?? ''}`);
+  const result = await run(bench, args, options).catch(err => err);
+  const ages = measureStaleness(`${result.stdout ?? ''}${result.stderr ?? ''}`);
   writeFileSync(path.resolve(output, `${name}.ages`), JSON.stringify(ages));
 }
 
-/** How many versions behind the newest one the oldest part of each sample was when it was listed. */
+/** Returns, for each finished item, how many versions its oldest span was behind the newest. */
 function measureStaleness(stdout) {
-  const named = new Map();
-  const models = new Map();
+  const newestVersions = new Map();
+  const modelsByBatch = new Map();
   const ages = [];
   for (const text of stdout.split('\n')) {
-    const at = text.indexOf('{"context"');
-    if (at < 0) continue;
+    const start = text.indexOf('{"context"');
+    if (start < 0) continue;
     let line;
     try {
-      line = JSON.parse(text.slice(at));
+      line = JSON.parse(text.slice(start));
     } catch {
-      // A line that the end of its process cut off tells nothing.
+      // The line was cut off when its process ended.
       continue;
     }
     const {context, message} = line;
     if (message === 'weights named') {
-      const known = named.get(context.model) ?? 1;
-      named.set(context.model, Math.max(known, context.version));
+      const previous = newestVersions.get(context.model) ?? 1;
+      newestVersions.set(context.model, Math.max(previous, context.version));
     } else if (message === 'batch accepted') {
-      models.set(context.requestId, context.model);
+      modelsByBatch.set(context.requestId, context.model);
     } else if (message === 'item has a result' && context.outcome === 'done') {
       const oldest = Math.min(...context.versions.split(',').map(Number));
-      const newest = named.get(models.get(context.batch)) ?? 1;
+      const newest = newestVersions.get(modelsByBatch.get(context.batch)) ?? 1;
       ages.push(Math.max(newest - oldest, 0));
     }
   }
@@ -140,11 +140,11 @@
   return list.reduce((sum, value) => sum + value, 0) / list.length;
 }
 
-/** Half of the 95 % interval of the mean of `list`. */
+/** Returns half the width of the 95 % confidence interval of the mean of `list`. */
 function measureSpread(list) {
   if (list.length < 2) return Infinity;
-  const middle = mean(list);
-  const squares = list.map(value => (value - middle) ** 2);
+  const average = mean(list);
+  const squares = list.map(value => (value - average) ** 2);
   const deviation = Math.sqrt(
     (mean(squares) * list.length) / (list.length - 1),
   );
@@ -156,13 +156,13 @@
   const a = pairs.map(pair => pair.a[key] ?? 0);
   const b = pairs.map(pair => pair.b[key] ?? 0);
   const differences = b.map((value, i) => value - a[i]);
-  const shown = [
+  const columns = [
     mean(a),
     mean(b),
     mean(differences),
     measureSpread(differences),
   ];
-  const cells = shown.map(value => value.toFixed(3).padStart(9)).join(' ');
+  const cells = columns.map(value => value.toFixed(3).padStart(9)).join(' ');
   console.log(`${label.padEnd(26)} ${cells}  ${pairs.length}`);
 }
 
--- a/tools/list_exports.mjs
+++ b/tools/list_exports.mjs
@@ -1,6 +1,7 @@
 /**
- * Writes each package's `exports`: the modules that another package imports, and
- * those meant for users, one by one. `--check` fails if the lists are not so.
+ * Writes the `exports` of each package.json: the modules that other packages import
+ * and those meant for users, one entry per module. With `--check` it writes nothing
+ * and fails if an `exports` is out of date.
  */
 
 import {readdirSync, readFileSync, writeFileSync} from 'node:fs';
@@ -8,7 +9,7 @@
 import process from 'node:process';
 import console from 'node:console';
 
-/** Modules that users of the libraries import though no package here does. */
+/** Modules for users of the libraries that no package of this repository imports. */
 const publicModules = {
   client: ['step_progress', 'trainer_client'],
   daemon: ['serve', 'vm'],
@@ -28,7 +29,7 @@
 }
 
 const packages = readdirSync('packages');
-const wanted = new Map(
+const modulesByPackage = new Map(
   packages.map(name => [name, new Set(publicModules[name])]),
 );
 const folders = [...packages.map(name => `packages/${name}`), 'platform'];
@@ -36,13 +37,13 @@
   for (const file of listSources(`${folder}/src`)) {
     const text = readFileSync(file, 'utf8');
     for (const [, target, module] of text.matchAll(importPattern)) {
-      wanted.get(target).add(module);
+      modulesByPackage.get(target).add(module);
     }
   }
 }
 
-let stale = false;
-for (const [name, modules] of wanted) {
+let isStale = false;
+for (const [name, modules] of modulesByPackage) {
   const file = `packages/${name}/package.json`;
   const manifest = JSON.parse(readFileSync(file, 'utf8'));
   const entries = [...modules]
@@ -53,13 +54,13 @@
     ]);
   const exports = Object.fromEntries(entries);
   if (JSON.stringify(exports) === JSON.stringify(manifest.exports)) continue;
-  stale = true;
+  isStale = true;
   manifest.exports = exports;
   if (!process.argv.includes('--check')) {
     writeFileSync(file, `${JSON.stringify(manifest, null, 2)}\n`);
   }
 }
-if (stale && process.argv.includes('--check')) {
+if (isStale && process.argv.includes('--check')) {
   console.error('exports are not up to date: node tools/list_exports.mjs');
   process.exitCode = 1;
 }
--- a/tools/play_days.sh
+++ b/tools/play_days.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Plays the day files of deploy/days on a site and prints one line a day.
+# Plays the day files of deploy/days on a site and prints one line per day.
 # Usage: tools/play_days.sh FLEETBENCH SITE OUTPUT_FOLDER [NAME_PATTERN] [JOBS]
 set -euo pipefail
 bench=$1 site=$2 out=$3 pattern=${4:-*} jobs=${5:-4}
--- a/tools/play_regressions.sh
+++ b/tools/play_regressions.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Plays the days of deploy/regressions.txt again and prints one line a day.
+# Plays the days of deploy/regressions.txt and prints one line per day.
 # Usage: tools/play_regressions.sh FLEETBENCH SITES_FOLDER OUTPUT_FOLDER [JOBS]
-# Site files may stand one folder deeper.
+# Site files may also be in subfolders of SITES_FOLDER, one level deep.
 set -euo pipefail
 bench=$1 sites=$2 out=$3 jobs=${4:-4}
 mkdir -p "$out"
